--- a/crates/proxy/src/invariants.rs
+++ b/crates/proxy/src/invariants.rs
@@ -1,41 +1,43 @@
-//! Invariants that are checked while the proxy runs, and the counts of their checks and violations.
+//! Invariants that are checked while the proxy runs, and the counts of checks and violations.
 //!
-//! Each guards one kind of step: an attempt that is sent, a request that is repeated, a client
-//! connection that is closed, work that is started. A violation is logged with the request that it
-//! concerns, and counted; the program goes on. The counts are logged on SIGTERM and at the end.
+//! Each invariant guards one kind of step: an attempt that is sent, a request that is retried, a
+//! client connection that is closed, work that is started. A violation is counted and logged with
+//! the request that it concerns, and the program continues. The counts are logged on SIGTERM and at
+//! the end of the process.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// What must hold whenever a step of its kind is taken.
+/// A condition that must hold whenever a step of its kind is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// Sending: the cache server is ready, so far as the endpoint list has told.
+    /// Sending: the cache server is ready according to the endpoint list.
     SendToReadyServer,
-    /// Sending: so is the server from which a miss is filled.
+    /// Sending: the server that a miss is filled from is ready according to the endpoint list.
     FillFromReadySource,
     /// Sending: the client still waits for the answer.
     SendForWaitingClient,
     /// Sending: the server is given no more time than the client has left.
     SendWithinClientTime,
-    /// Repeating: no attempt that may have run went before, unless the class allows a repeat.
+    /// Retrying: no earlier attempt may have run, unless the request class allows a repetition.
     RepeatOnlyIfSafe,
-    /// Repeating: a request has one attempt in flight at a time.
+    /// Retrying: a request has at most one attempt in flight.
     OneAttemptInFlight,
-    /// Repeating: a rejection, which tells the client that a retry does no harm, is true.
+    /// Retrying: a rejection, which promises the client that a retry does no harm, is true.
     RejectOnlyIfSafe,
-    /// Closing: a client connection is not closed from here while an answer is owed on it.
+    /// Closing: the proxy does not close a client connection on which a final answer is still due.
     CloseOnlyIfAnswered,
-    /// Closing: the program ends with no request pending.
+    /// Closing: the process ends with no request pending.
     EndOnlyIfAnswered,
-    /// Closing: a final answer is given in the time of its client, give or take a late turn.
+    /// Closing: a final answer is given before the deadline of the request, with a tolerance for a
+    /// delayed turn of the event loop.
     AnswerInTime,
-    /// Starting: no request is admitted once the grace period of a shutdown is over.
+    /// Starting: no request is admitted after the grace period of a shutdown.
     AdmitOnlyBeforeGraceEnds,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants, in the order of their declaration.
     pub const ALL: [Invariant; 11] = [
         Invariant::SendToReadyServer,
         Invariant::FillFromReadySource,
@@ -51,14 +53,14 @@
     ];
 }
 
-/// The start of a log line that tells of a violation.
-pub const VIOLATION_MARK: &str = "invariant violated: ";
-/// The start of the log line with the counts.
-pub const SUMMARY_MARK: &str = "invariants: ";
-/// Violations of one invariant that are logged; further ones are counted only.
-const LOGGED_VIOLATIONS: u64 = 20;
+/// The prefix of a log line that reports a violation.
+pub const VIOLATION_LOG_PREFIX: &str = "invariant violated: ";
+/// The prefix of the log line that reports the counts.
+pub const SUMMARY_LOG_PREFIX: &str = "invariants: ";
+/// The number of violations of one invariant that are logged. Further violations are only counted.
+const MAX_LOGGED_VIOLATIONS: u64 = 20;
 
-/// Counts the checks and violations of all invariants. It is shared by whoever takes the steps.
+/// Counts the checks and violations of all invariants. All code that takes guarded steps shares it.
 #[derive(Default)]
 pub struct InvariantMonitor {
     checks: Cell<u64>,
@@ -66,8 +68,8 @@
 }
 
 impl InvariantMonitor {
-    /// Counts a check, and a violation where the invariant does not hold. `subject` is what it
-    /// concerns, such as the id of a request. Returns whether it holds.
+    /// Counts a check, and also a violation if `holds` is false. `subject` is what the check
+    /// concerns, such as the id of a request. Returns `holds`.
     pub fn check(&self, invariant: Invariant, holds: bool, subject: impl fmt::Display) -> bool {
         self.checks.set(self.checks.get() + 1);
         if !holds {
@@ -79,22 +81,22 @@
     fn count_violation(&self, invariant: Invariant, subject: &dyn fmt::Display) {
         let count = &self.violations[invariant as usize];
         count.set(count.get() + 1);
-        if count.get() <= LOGGED_VIOLATIONS {
-            log::error!("{VIOLATION_MARK}{invariant:?}: {subject}");
+        if count.get() <= MAX_LOGGED_VIOLATIONS {
+            log::error!("{VIOLATION_LOG_PREFIX}{invariant:?}: {subject}");
         }
     }
 
-    /// Checks so far.
+    /// Returns the number of checks so far.
     pub fn checks(&self) -> u64 {
         self.checks.get()
     }
 
-    /// Violations of one invariant so far.
+    /// Returns the number of violations of one invariant so far.
     pub fn violations_of(&self, invariant: Invariant) -> u64 {
         self.violations[invariant as usize].get()
     }
 
-    /// Violations of all invariants so far.
+    /// Returns the number of violations of all invariants so far.
     pub fn violations(&self) -> u64 {
         self.violations.iter().map(Cell::get).sum()
     }
@@ -105,7 +107,7 @@
         let (checks, violations) = (self.checks(), self.violations());
         write!(
             formatter,
-            "{SUMMARY_MARK}{checks} checks, {violations} violations"
+            "{SUMMARY_LOG_PREFIX}{checks} checks, {violations} violations"
         )?;
         let violated = Invariant::ALL
             .into_iter()
--- a/crates/soak/src/log_scan.rs
+++ b/crates/soak/src/log_scan.rs
@@ -2,7 +2,7 @@
 
 use crate::child::INJECTED_MARK;
 use crate::violation::{Rule, Violation};
-use edge_proxy::invariants::{SUMMARY_MARK, VIOLATION_MARK};
+use edge_proxy::invariants::{SUMMARY_LOG_PREFIX, VIOLATION_LOG_PREFIX};
 use std::collections::BTreeMap;
 use std::fs;
 use std::io;
@@ -34,11 +34,11 @@
             .and_then(|number| number.parse().ok());
         let text = String::from_utf8_lossy(&fs::read(&path)?).into_owned();
         for line in text.lines() {
-            if let Some((_, summary)) = line.split_once(SUMMARY_MARK) {
+            if let Some((_, summary)) = line.split_once(SUMMARY_LOG_PREFIX) {
                 let checks = summary.split(' ').next().and_then(|word| word.parse().ok());
                 // The last line of a process counts: the one at SIGTERM comes before.
                 let is_last =
-                    !text[text.find(line).unwrap_or(0) + line.len()..].contains(SUMMARY_MARK);
+                    !text[text.find(line).unwrap_or(0) + line.len()..].contains(SUMMARY_LOG_PREFIX);
                 findings.invariant_checks += checks.filter(|_| is_last).unwrap_or(0);
             }
             if let Some(json) = line.strip_prefix(INJECTED_MARK) {
@@ -47,7 +47,7 @@
                     *findings.injected.entry(call).or_default() += count;
                 }
             }
-            let rule = if line.contains(VIOLATION_MARK) {
+            let rule = if line.contains(VIOLATION_LOG_PREFIX) {
                 Rule::Invariant
             } else if line.contains("panicked at") {
                 Rule::Crash
