--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -217,7 +217,8 @@
                 self.request_table.update_endpoints(now, mode, servers);
             }
             Some(DiscoveryEvent::Purge { object, group, at }) => {
-                self.request_table.purged(now, object, group, at);
+                self.request_table
+                    .handle_purge_event(now, object, group, at);
             }
             None => log::debug!(
                 "event {} of the event bus is of an unknown kind",
--- a/crates/proxy/src/event_loop/mod.rs
+++ b/crates/proxy/src/event_loop/mod.rs
@@ -208,16 +208,16 @@
 
     /// Whether the proxy reports itself as ready for requests.
     fn is_ready(&self) -> bool {
-        self.request_table.is_ready() && !self.shutdown.is_requested()
+        self.request_table.has_ready_server() && !self.shutdown.is_requested()
     }
 
     /// Every request that was admitted has its answer, or lost its client, when the program ends.
     fn check_nothing_is_open(&self) {
         let invariants = &self.request_table.invariants;
-        for id in self.request_table.unsettled_ids() {
+        for id in self.request_table.unsettled_request_ids() {
             invariants.check(Invariant::EndOnlyIfAnswered, false, id);
         }
-        let is_settled = self.request_table.unsettled_ids().next().is_none();
+        let is_settled = self.request_table.unsettled_request_ids().next().is_none();
         invariants.check(Invariant::EndOnlyIfAnswered, is_settled, "all requests");
     }
 
--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -105,7 +105,7 @@
             let attempts_in_flight =
                 upstream.load_if_available(request_id, &self.request_table, &self.limits)?;
             Some(Candidate {
-                is_new_to_request: !upstream.cancelled_recently(request_id),
+                is_new_to_request: !upstream.has_recent_cancellation(request_id),
                 is_connecting: !transport.connected,
                 attempts_in_flight,
                 key: *key,
@@ -160,7 +160,7 @@
         if !self.has_free_connection_slot() {
             return Err(ConnectError::TableFull);
         }
-        let address = self.request_table.address_of(server);
+        let address = self.request_table.server_address(server);
         let address = address.ok_or(ConnectError::ServerGone)?.address;
         let upstream = UpstreamConnection::new(server, &self.limits, now);
         let key = self.connect_to(now, address, ConnectionRole::Upstream(upstream))?;
--- a/crates/proxy/src/event_loop/upstreams/mod.rs
+++ b/crates/proxy/src/event_loop/upstreams/mod.rs
@@ -57,7 +57,7 @@
         let server = upstream.server;
         let mut events = Vec::new();
         let result = upstream.read(now, transport, &self.request_table, &mut events);
-        if events.iter().any(UpstreamEvent::is_not_final) {
+        if events.iter().any(UpstreamEvent::allows_further_attempt) {
             // The connection remembers such an attempt for a while; the check forgets it.
             self.timers.set(
                 now + self.limits.stream_memory_us + 1,
@@ -75,7 +75,7 @@
                 self.connections
                     .upstream(key)
                     .is_some_and(|(transport, upstream)| {
-                        transport.connected && upstream.is_readable(now, &self.limits)
+                        transport.connected && upstream.can_parse_further_input(now, &self.limits)
                     });
             let Some((transport, _)) = self.connections.upstream_mut(key).filter(|_| is_readable)
             else {
@@ -109,7 +109,7 @@
             &self.limits,
             &mut events,
         );
-        let cancelled_over_at = upstream.next_cancellation_report(&self.limits);
+        let cancelled_over_at = upstream.next_cancellation_report_at(&self.limits);
         let answer_stalls_at = upstream
             .partial_answer_deadline(&self.limits)
             .filter(|_| is_usable);
@@ -123,7 +123,7 @@
         }
         // A server that drains or is gone gets nothing new: once all that it owed has come, its
         // connections are of no use, and where its machine has vanished nobody else would end them.
-        let is_drained = upstream.is_idle() && !self.request_table.accepts_work(server);
+        let is_drained = upstream.is_idle() && !self.request_table.is_server_ready(server);
         self.report_upstream_events(now, server, events);
         if !is_usable {
             return Err(CloseReason::UpstreamUnusable);
@@ -141,7 +141,7 @@
         }
         self.update_poll_interest(now, key);
         if let Some((_, upstream)) = self.connections.upstream_mut(key) {
-            upstream.forget_old_streams(now, &self.limits);
+            upstream.remove_expired_streams(now, &self.limits);
         }
     }
 
@@ -158,7 +158,7 @@
         let server = upstream.server;
         self.upstream_connections.remove(server, key);
         if reason == CloseReason::LocalFailure {
-            for attempt in upstream.take_queue() {
+            for attempt in upstream.take_queued_attempts() {
                 self.park_attempt(now, attempt, server, now);
             }
         }
--- a/crates/proxy/src/frontend/fastcgi/response.rs
+++ b/crates/proxy/src/frontend/fastcgi/response.rs
@@ -10,7 +10,7 @@
 pub(super) fn cgi_response(answer: &Answer) -> Vec<u8> {
     match answer {
         Answer::Served(Content::Object { bytes, .. }) => object(bytes),
-        Answer::Served(Content::Unchanged) => without_body("200 OK", "X-Unchanged: 1\r\n"),
+        Answer::Served(Content::NotModified) => without_body("200 OK", "X-Unchanged: 1\r\n"),
         Answer::Rejected { retry_after_us } => rejection(*retry_after_us),
         Answer::Failed => status_only("502 Bad Gateway"),
     }
--- a/crates/proxy/src/frontend/interconnect/response.rs
+++ b/crates/proxy/src/frontend/interconnect/response.rs
@@ -52,7 +52,7 @@
 pub fn response(answer: Answer, late: bool) -> Response {
     match answer {
         Answer::Served(Content::Object { bytes, tag }) => object(bytes, tag),
-        Answer::Served(Content::Unchanged) => Response::bare(304),
+        Answer::Served(Content::NotModified) => Response::bare(304),
         Answer::Rejected { retry_after_us } => rejection(retry_after_us),
         Answer::Failed if late => Response::bare(504),
         Answer::Failed => Response::bare(502),
--- a/crates/proxy/src/request_table/admission.rs
+++ b/crates/proxy/src/request_table/admission.rs
@@ -1,19 +1,19 @@
-//! Why a request is not admitted.
+//! The reasons for not admitting a request.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why a request is not admitted. Nothing of it ran and nothing of it is kept, so the frontend can
-/// reject it as safe to retry.
+/// The reason why a request is not admitted. No part of the request has run and the table keeps
+/// nothing of it, so the frontend can reject the request as safe to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionError {
-    /// The bodies of all pending requests would be more bytes than allowed.
+    /// The bodies of all pending requests together would exceed the limit in bytes.
     BodyBytesExhausted,
-    /// The request's class is retried under an idempotency key, and it has none.
+    /// The request's class is retried under an idempotency key, and the request has none.
     MissingIdempotencyKey,
-    /// A request with this id is pending: a cache server would take the two for one.
+    /// A request with the same id is pending. A cache server would confuse the two.
     DuplicateId,
-    /// As many requests are pending as the table holds.
+    /// The number of pending requests has reached the capacity of the table.
     TableFull,
 }
 
@@ -21,11 +21,13 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             AdmissionError::BodyBytesExhausted => {
-                "the bodies of pending requests are too many bytes"
+                "the bodies of all pending requests would exceed the limit in bytes"
             }
-            AdmissionError::MissingIdempotencyKey => "the request's class needs an idempotency key",
-            AdmissionError::DuplicateId => "a request with the same id is pending",
-            AdmissionError::TableFull => "the request table is full",
+            AdmissionError::MissingIdempotencyKey => {
+                "the request class needs an idempotency key, and the request has none"
+            }
+            AdmissionError::DuplicateId => "another request with the same id is pending",
+            AdmissionError::TableFull => "the request table has no free slot",
         })
     }
 }
--- a/crates/proxy/src/request_table/attempt.rs
+++ b/crates/proxy/src/request_table/attempt.rs
@@ -1,55 +1,54 @@
-//! One attempt: a request sent to one cache server, with its limits in time and the way in which it
-//! ended.
+//! An attempt: one request sent to one cache server, its time limits, and how it ended.
 
 use super::request::{Content, RequestKey};
-use super::trace::TraceEvent;
+use super::trace::AttemptTrace;
 use edge_routing::{AttemptReport, Fill, FillResult, LoadReport, Micros, Outcome, ServerId};
 
-/// An attempt, by its request and its number among that request's attempts.
+/// Identifies an attempt by its request and by its number among the attempts of that request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request.
+    /// Key of the request.
     pub request_key: RequestKey,
-    /// Which of the request's attempts, counted from 0.
+    /// Number of the attempt within its request, counted from 0.
     pub number: u32,
 }
 
-/// What an upstream connection needs to know to send an attempt.
+/// The parameters with which an upstream connection sends an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptSpec {
-    /// The cache server.
+    /// The cache server that the attempt is sent to.
     pub server: ServerId,
-    /// How a miss is filled; none: only what the server has cached.
+    /// How the server fills a miss. `None` means that it may serve only what it has cached.
     pub fill: Option<Fill>,
-    /// The oldest copy that will do, as an age in microseconds: the router's bound, or that of a
-    /// purge that came since, as long as nothing of the attempt is written.
+    /// Maximum age of an acceptable copy, in microseconds. This is the router's bound, or a lower
+    /// one set by a purge that arrived before any byte of the attempt was written.
     pub max_age_us: Option<Micros>,
-    /// When the attempt is cancelled at the latest.
+    /// When the attempt is cancelled if it has not ended before.
     pub deadline: Micros,
-    /// The attempt must not begin later than this.
+    /// The attempt must not be sent later than this.
     pub send_by: Option<Micros>,
 }
 
 /// How an attempt ended, as the upstream connection reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Its outcome.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How the answer was made.
+    /// How the server obtained the answer.
     pub fill_result: FillResult,
-    /// Time to the first byte of the fill, in microseconds; 0: no fill, or unknown.
+    /// Time to first byte of the fill, in microseconds. 0 means no fill, or an unknown time.
     pub fill_ttfb_us: Micros,
-    /// The server's report of its load.
+    /// The server's load report, if the answer carries one.
     pub load: Option<LoadReport>,
-    /// What came with the outcome `Ok`.
+    /// The content of the answer. Used only with the outcome `Ok`.
     pub content: Option<Content>,
-    /// When the origin gave out the copy that it comes from: a stamp of the origin, in Unix
-    /// microseconds.
-    pub copy_made_us: Option<u64>,
+    /// When the origin sent out the copy from which the answer was made: a timestamp of the origin,
+    /// in Unix microseconds. `None` if the answer does not name it.
+    pub copy_made_at_us: Option<u64>,
 }
 
 impl From<Outcome> for AttemptResult {
-    /// The result of an attempt of which no more than the outcome is known.
+    /// Creates the result of an attempt of which only the outcome is known.
     fn from(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
@@ -57,64 +56,70 @@
             fill_ttfb_us: 0,
             load: None,
             content: None,
-            copy_made_us: None,
+            copy_made_at_us: None,
         }
     }
 }
 
-/// What the router decided about the next attempt of a request.
+/// The router's decision about the next attempt of a request.
 #[derive(Clone, Copy)]
-pub(super) struct AttemptOrder {
+pub(super) struct RoutingDecision {
     pub(super) server: ServerId,
-    /// Time-out from now on; none: the request's deadline alone.
+    /// Time-out of the attempt, counted from its start. With `None`, only the deadline of the
+    /// request applies.
     pub(super) timeout_us: Option<Micros>,
     pub(super) fill: Option<Fill>,
     pub(super) send_by: Option<Micros>,
 }
 
-/// An attempt that has started and is not reported ended.
+/// An attempt that was started and has not been reported as ended.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightAttempt {
     pub(super) number: u32,
     started_at: Micros,
     pub(super) spec: AttemptSpec,
-    /// Once it is cancelled: the outcome to report when the cancellation is confirmed.
-    cancelled_as: Option<Outcome>,
+    /// Set once the attempt is cancelled: the outcome to report when the cancellation is confirmed.
+    cancellation_outcome: Option<Outcome>,
 }
 
 impl InFlightAttempt {
-    pub(super) fn new(now: Micros, number: u32, deadline: Micros, order: AttemptOrder) -> Self {
+    pub(super) fn new(
+        now: Micros,
+        number: u32,
+        deadline: Micros,
+        decision: RoutingDecision,
+    ) -> Self {
         let spec = AttemptSpec {
-            server: order.server,
-            fill: order.fill,
-            max_age_us: order.fill.and_then(|fill| fill.max_age_us),
+            server: decision.server,
+            fill: decision.fill,
+            max_age_us: decision.fill.and_then(|fill| fill.max_age_us),
             deadline,
-            send_by: order.send_by,
+            send_by: decision.send_by,
         };
         InFlightAttempt {
             number,
             started_at: now,
             spec,
-            cancelled_as: None,
+            cancellation_outcome: None,
         }
     }
 
     pub(super) fn is_cancelled(&self) -> bool {
-        self.cancelled_as.is_some()
+        self.cancellation_outcome.is_some()
     }
 
-    /// Marks the attempt as cancelled, to be reported with this outcome. False: it was cancelled
-    /// before.
+    /// Marks the attempt as cancelled. A confirmed cancellation is then reported with this outcome.
+    /// Returns `false` if the attempt was already cancelled.
     pub(super) fn cancel(&mut self, outcome: Outcome) -> bool {
         if self.is_cancelled() {
             return false;
         }
-        self.cancelled_as = Some(outcome);
+        self.cancellation_outcome = Some(outcome);
         true
     }
 
-    /// Accepts no copy older than this any more.
-    pub(super) fn tighten_max_age(&mut self, max_age_us: Micros) {
+    /// Lowers the maximum age of an acceptable copy to at most `max_age_us`.
+    pub(super) fn lower_max_age(&mut self, max_age_us: Micros) {
         let bound = self
             .spec
             .max_age_us
@@ -122,18 +127,19 @@
         self.spec.max_age_us = Some(bound);
     }
 
-    /// The outcome that counts. An answer that was in transit when the attempt was cancelled is
-    /// still how it ended; only a confirmed cancellation is reported as what it was cancelled for.
+    /// Returns the outcome to record for a reported one. If an answer was in transit when the
+    /// attempt was cancelled, the outcome of that answer stands. Only a confirmed cancellation is
+    /// replaced by the outcome with which the attempt was cancelled.
     pub(super) fn effective_outcome(&self, reported: Outcome) -> Outcome {
         match reported {
-            Outcome::Cancelled => self.cancelled_as.unwrap_or(reported),
+            Outcome::Cancelled => self.cancellation_outcome.unwrap_or(reported),
             _ => reported,
         }
     }
 
-    /// The ended attempt for the request's trace.
-    pub(super) fn trace_event(&self, now: Micros, result: &AttemptResult) -> TraceEvent {
-        TraceEvent {
+    /// Returns the entry of the ended attempt for the request's trace.
+    pub(super) fn attempt_trace(&self, now: Micros, result: &AttemptResult) -> AttemptTrace {
+        AttemptTrace {
             server: self.spec.server,
             source: self.spec.fill.map(|fill| fill.source),
             started_at: self.started_at,
@@ -144,7 +150,8 @@
         }
     }
 
-    /// The ended attempt for the router; `settled`: no answer to the request is owed any more.
+    /// Returns the report on the ended attempt for the router. `settled` says that the request
+    /// needs no further answer.
     pub(super) fn report(
         &self,
         now: Micros,
--- a/crates/proxy/src/request_table/command.rs
+++ b/crates/proxy/src/request_table/command.rs
@@ -1,39 +1,40 @@
-//! What the request table asks of the event loop.
+//! The commands that the request table gives to the event loop.
 
 use super::attempt::AttemptId;
 use super::request::{Answer, RequestKey, ResponseTarget};
 use edge_routing::{Micros, ServerId};
 
-/// A timer of the request table. The event loop hands it back unchanged when it fires; there is no
-/// way to stop one, so what a timer is for may be over by then.
+/// A timer of the request table. The event loop passes it back unchanged when it fires. A timer
+/// can't be stopped, so its request or attempt may have ended by the time it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestTimer {
-    /// The deadline of a request, or a sweep on the way to it.
+    /// Fires at the deadline of a request, or at an earlier check of it.
     Deadline(RequestKey),
-    /// The time-out of an attempt.
+    /// Fires at the time-out of an attempt.
     AttemptTimeout(AttemptId),
-    /// The router's timer with this tag.
+    /// A timer of the router, identified by its tag.
     Router(u64),
 }
 
-/// A step for the event loop to take. Commands are carried out in the order in which they come.
+/// A command to the event loop. Commands must be carried out in the order in which they are queued.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send an attempt; `RequestTable::attempt_spec` tells how.
+    /// Sends an attempt. `RequestTable::attempt_spec` returns the parameters.
     SendAttempt(AttemptId),
-    /// Cancel an attempt, and report it ended once the server can no longer mistake it for one in
-    /// flight.
+    /// Cancels an attempt. The attempt must be reported as ended once the server can no longer
+    /// mistake it for an attempt in flight.
     CancelAttempt(AttemptId, ServerId),
-    /// Take back an attempt of which nothing is written yet; one that is under way goes on.
+    /// Removes an attempt of which no byte is written yet. An attempt that is partly or completely
+    /// written continues.
     DequeueAttempt(AttemptId, ServerId),
-    /// Give a client its final answer.
+    /// Sends the final answer to a client.
     Respond(ResponseTarget, Answer),
-    /// Call `RequestTable::timer_fired` with this timer at this time, in microseconds of the loop's
-    /// clock.
+    /// Sets a timer: `RequestTable::timer_fired` must be called with it at this time, in
+    /// microseconds of the loop's clock.
     SetTimer(Micros, RequestTimer),
-    /// Ask a server for its load, and report by `RequestTable::probe_ended`.
+    /// Requests a load report from a server. `RequestTable::probe_ended` receives the result.
     Probe(ServerId),
-    /// A server is draining or gone: take back what is not written yet to it, or would be filled
-    /// from it.
+    /// Handles a server that is draining or gone: removes the attempts of which no byte is written
+    /// yet and which would be sent to this server or filled from it.
     DrainServer(ServerId),
 }
--- a/crates/proxy/src/request_table/counters.rs
+++ b/crates/proxy/src/request_table/counters.rs
@@ -1,20 +1,20 @@
-//! What the table counts for the operators.
+//! The counters of the request table, for the operators.
 
 use super::request::Answer;
 
-/// Totals since the start. Each admitted request ends up in exactly one of `served`, `rejected`,
-/// `failed` and `disconnected`.
+/// Totals since the start of the process. Each admitted request is finally counted in exactly one
+/// of `served`, `rejected`, `failed` and `disconnected`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounters {
-    /// Requests admitted.
+    /// Admitted requests.
     pub admitted: u64,
-    /// Attempts started.
+    /// Started attempts.
     pub attempts: u64,
-    /// Requests served.
+    /// Requests that a cache server served.
     pub served: u64,
     /// Requests rejected after their admission.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
     /// Requests whose client disconnected before the answer.
     pub disconnected: u64,
--- a/crates/proxy/src/request_table/guard.rs
+++ b/crates/proxy/src/request_table/guard.rs
@@ -1,5 +1,5 @@
-//! The guards that every attempt, repeat and answer passes, whichever path it came by. They check
-//! the [invariants](crate::invariants) and hold back what would break one.
+//! Checks that every attempt, retry and answer passes, whichever code path it comes from. They
+//! check the [invariants](crate::invariants) and prevent what would violate one.
 
 use super::attempt::{AttemptId, AttemptSpec};
 use super::request::{Answer, ClientRequest, PendingRequest};
@@ -8,62 +8,65 @@
 use edge_routing::{Idempotency, Micros, Settings};
 use std::collections::HashMap;
 
-/// A final answer that is later than this after the client's time is lost to it: the loop has been
-/// held up, or a timer was missed.
-const LATEST_ANSWER_US: Micros = 500_000;
+/// How long after the deadline a final answer still counts as given in time. A later answer is lost
+/// to the client, and means that the event loop was held up or a timer was missed.
+const MAX_ANSWER_LATENESS_US: Micros = 500_000;
 
-/// How each class may be repeated, by its name.
-pub(super) struct ClassRules {
-    idempotency: HashMap<String, Idempotency>,
+/// The idempotency of each request class, by the name of the class.
+pub(super) struct IdempotencyRules {
+    by_class: HashMap<String, Idempotency>,
 }
 
-impl ClassRules {
+impl IdempotencyRules {
     pub(super) fn from_settings(settings: &Settings) -> Self {
         let classes = settings.classes.iter();
-        ClassRules {
-            idempotency: classes
+        IdempotencyRules {
+            by_class: classes
                 .map(|class| (class.name.clone(), class.idempotency))
                 .collect(),
         }
     }
 
-    /// How a request may be repeated; a class that the settings do not name runs nowhere.
+    /// Returns the idempotency of a request's class. A class that the settings don't name counts as
+    /// idempotent, because its requests are never run.
     fn idempotency_of(&self, request: &ClientRequest) -> Idempotency {
-        let known = self.idempotency.get(&request.class);
+        let known = self.by_class.get(&request.class);
         known.copied().unwrap_or(Idempotency::Idempotent)
     }
 
-    /// Whether the request's class is repeated under an idempotency key, and it has none.
-    pub(super) fn lacks_key(&self, request: &ClientRequest) -> bool {
+    /// Returns whether the request lacks the idempotency key under which its class is retried.
+    pub(super) fn lacks_required_key(&self, request: &ClientRequest) -> bool {
         request.idempotency_key.is_none()
             && self.idempotency_of(request) == Idempotency::IdempotencyKey
     }
 
-    /// Whether a request may be sent once more, so far as its class tells.
-    fn allows_repeat(&self, pending: &PendingRequest) -> bool {
+    /// Returns whether a request may be sent again, considering its class and earlier attempts.
+    fn allows_retry(&self, pending: &PendingRequest) -> bool {
         !pending.may_have_run()
             || self.idempotency_of(&pending.request) != Idempotency::NonIdempotent
     }
 }
 
 impl RequestTable {
-    /// The one place that an attempt passes before its first byte is written. None: it must not
-    /// begin, or no longer.
-    pub fn clear_to_send(
+    /// Returns the request and the parameters of an attempt if the attempt may be sent now. Every
+    /// attempt passes this check before its first byte is written. Returns `None` if the attempt
+    /// has ended, it is too late to send it, or sending it would violate an invariant.
+    pub fn sendable_attempt(
         &self,
         now: Micros,
         attempt: AttemptId,
     ) -> Option<(&ClientRequest, &AttemptSpec)> {
         let pending = self.requests.get(attempt.request_key)?;
         let spec = &pending.attempt(attempt.number)?.spec;
-        let is_over = now >= spec.deadline || spec.send_by.is_some_and(|send_by| now >= send_by);
-        if is_over {
+        let is_too_late =
+            now >= spec.deadline || spec.send_by.is_some_and(|send_by| now >= send_by);
+        if is_too_late {
             return None;
         }
         let id = &pending.request.id;
         let check = |invariant, holds| self.invariants.check(invariant, holds, id);
         let source = spec.fill.map_or(spec.server, |fill| fill.source);
-        let is_clear = check(
+        let may_be_sent = check(
             Invariant::SendToReadyServer,
             self.servers.is_ready(spec.server),
         ) & check(
@@ -74,16 +77,16 @@
                 Invariant::SendWithinClientTime,
                 spec.deadline <= pending.deadline,
             );
-        is_clear.then_some((&pending.request, spec))
+        may_be_sent.then_some((&pending.request, spec))
     }
 
-    /// Whether one more attempt of a request may be started.
+    /// Returns whether another attempt of a request may be started.
     pub(super) fn may_start_attempt(&self, pending: &PendingRequest) -> bool {
         let id = &pending.request.id;
-        let is_alone = pending.in_flight.is_none();
-        let is_safe = self.class_rules.allows_repeat(pending);
+        let none_in_flight = pending.in_flight.is_none();
+        let is_safe = self.idempotency_rules.allows_retry(pending);
         self.invariants
-            .check(Invariant::OneAttemptInFlight, is_alone, id)
+            .check(Invariant::OneAttemptInFlight, none_in_flight, id)
             & self
                 .invariants
                 .check(Invariant::RepeatOnlyIfSafe, is_safe, id)
@@ -92,19 +95,20 @@
                 .check(Invariant::SendForWaitingClient, !pending.is_settled(), id)
     }
 
-    /// The answer that may be given to a request in place of `answer`: a rejection promises that a
-    /// retry does no harm, which must be so.
-    pub(super) fn honest_answer(
+    /// Returns the answer to give to a request: `answer` if it is permitted, and `Answer::Failed`
+    /// otherwise. A rejection promises that a retry does no harm, so it is permitted only if that
+    /// is true.
+    pub(super) fn permitted_answer(
         &self,
         now: Micros,
         pending: &PendingRequest,
         answer: Answer,
     ) -> Answer {
         let id = &pending.request.id;
-        let in_time = now <= pending.deadline + LATEST_ANSWER_US;
+        let in_time = now <= pending.deadline + MAX_ANSWER_LATENESS_US;
         self.invariants.check(Invariant::AnswerInTime, in_time, id);
         let is_rejected = matches!(answer, Answer::Rejected { .. });
-        let is_safe = !is_rejected || self.class_rules.allows_repeat(pending);
+        let is_safe = !is_rejected || self.idempotency_rules.allows_retry(pending);
         if self
             .invariants
             .check(Invariant::RejectOnlyIfSafe, is_safe, id)
--- a/crates/proxy/src/request_table/log_rate.rs
+++ b/crates/proxy/src/request_table/log_rate.rs
@@ -1,22 +1,22 @@
-//! A bound on log lines per second, so that a flood of bad requests does not fill the log.
+//! Limits the log lines per second, so that a flood of bad requests does not fill the log.
 
 use edge_routing::Micros;
 use std::fmt;
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Lets a fixed number of lines through in each whole second of the clock, and counts those that it
+/// Permits a fixed number of lines in each whole second of the clock, and counts the lines that it
 /// suppresses.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter {
     lines_per_second: u32,
-    second: u64,
+    current_second: u64,
     lines_this_second: u32,
     suppressed: u32,
 }
 
-/// How many lines were suppressed since the last one that was let through. Shown as a remark to add
-/// to a line; empty for none.
+/// The number of lines suppressed since the last permitted line. Its `Display` text is a remark to
+/// append to a log line, and is empty if no line was suppressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuppressedLines(pub u32);
 
@@ -30,21 +30,22 @@
 }
 
 impl LogRateLimiter {
-    /// A limiter for this many lines per second.
+    /// Creates a limiter that permits this many lines per second.
     pub fn new(lines_per_second: u32) -> Self {
         LogRateLimiter {
             lines_per_second,
-            second: 0,
+            current_second: 0,
             lines_this_second: 0,
             suppressed: 0,
         }
     }
 
-    /// Asks for one more line. None: it must not be written, and counts as suppressed.
-    pub fn take(&mut self, now: Micros) -> Option<SuppressedLines> {
+    /// Requests permission to write one line. Returns `None` if the line must not be written; the
+    /// line then counts as suppressed.
+    pub fn try_acquire(&mut self, now: Micros) -> Option<SuppressedLines> {
         let second = now / MICROS_PER_SECOND;
-        if self.second != second {
-            self.second = second;
+        if self.current_second != second {
+            self.current_second = second;
             self.lines_this_second = 0;
         }
         if self.lines_this_second >= self.lines_per_second {
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -1,11 +1,13 @@
-//! Requests, their attempts, and exactly one final answer for each request.
+//! Pending requests, their attempts, and the single final answer that each request gets.
 //!
-//! The table does no I/O. The event loop tells it what frontends, upstream connections, discovery
-//! and timers bring, through the methods of [`RequestTable`]; it drives the router and leaves
-//! [`Command`]s, which the event loop carries out. Upstream connections look up the requests that
-//! they send. The table knows no wire: frontends and upstream connections translate.
+//! The table performs no I/O. The event loop calls the methods of [`RequestTable`] to report events
+//! from frontends, upstream connections, discovery and timers. The table passes these events to the
+//! router and queues [`Command`]s, which the event loop carries out. Upstream connections look up
+//! the requests that they send. The table knows no wire format: frontends and upstream connections
+//! translate between their protocols and the types of this module.
 //!
-//! All times are microseconds of the event loop's clock, passed in as `now`.
+//! All points in time are in microseconds of the event loop's clock. Methods receive the current
+//! time as `now`.
 
 mod admission;
 mod attempt;
@@ -30,9 +32,9 @@
 pub use self::log_rate::{LogRateLimiter, SuppressedLines};
 pub use self::request::{Answer, ClientRequest, Content, RequestKey, ResponseTarget};
 pub use self::servers::{server_id, ListedServer, ServerAddress};
-pub use self::trace::{RequestEnding, RequestTrace, TraceEvent};
+pub use self::trace::{AttemptTrace, RequestEnding, RequestTrace};
 
-use self::guard::ClassRules;
+use self::guard::IdempotencyRules;
 use self::pending_requests::PendingRequests;
 use self::purges::{PermanentPurges, Purge, PurgeTarget};
 use self::request::PendingRequest;
@@ -46,48 +48,49 @@
     SettingsError,
 };
 
-/// The pending requests, the servers that take their attempts, and the router that decides about
-/// both.
+/// Holds the pending requests, the servers that their attempts are sent to, and the router that
+/// makes the decisions about both.
 ///
 /// Invariants:
-/// - Exactly one final answer: an admitted request gets one [`Command::Respond`], at its deadline
-///   at the latest, unless its client disconnects before; then it gets none.
-/// - At most one attempt of a request is in flight.
-/// - Reports on attempts, timers and requests that are over change nothing.
+/// - An admitted request gets exactly one final answer, as one [`Command::Respond`], at its
+///   deadline at the latest. If its client disconnects before that, the request gets no answer.
+/// - A request has at most one attempt in flight.
+/// - Reports about attempts, timers and requests that have already ended change nothing.
 pub struct RequestTable {
     router: Router,
-    /// Empty between events; kept for its allocation.
+    /// Reused for every event to avoid allocations. The buffer is empty between events.
     action_buffer: Vec<Action>,
     requests: PendingRequests,
-    class_rules: ClassRules,
-    deadlines: DeadlineLimits,
+    idempotency_rules: IdempotencyRules,
+    deadline_timing: DeadlineTiming,
     servers: ServerDirectory,
     permanent_purges: PermanentPurges,
     reference_time: ReferenceTime,
     trace_log: TraceLog,
     commands: Vec<Command>,
-    /// Totals since the start.
+    /// Counts of requests and attempts since the start of the process.
     pub counters: RequestCounters,
-    /// What must hold at every step, and how often it did not.
+    /// Counts checks and violations of the invariants that must hold at every step.
     pub invariants: InvariantMonitor,
 }
 
-struct DeadlineLimits {
-    /// How long before the client stops waiting an answer has to be given.
+struct DeadlineTiming {
+    /// How long before the client stops waiting the final answer is due.
     answer_lead_us: Micros,
-    /// The longest time for which a deadline timer is set.
+    /// The longest delay for which a deadline timer is set.
     sweep_interval_us: Micros,
 }
 
 impl RequestTable {
-    /// A table without servers. Fails if the router does not accept the settings.
+    /// Creates a table without servers. Returns an error if the router does not accept the
+    /// settings.
     pub fn new(settings: Settings, seed: u64, limits: &Limits) -> Result<Self, SettingsError> {
         Ok(RequestTable {
-            class_rules: ClassRules::from_settings(&settings),
+            idempotency_rules: IdempotencyRules::from_settings(&settings),
             router: Router::new(settings, seed)?,
             action_buffer: Vec::new(),
             requests: PendingRequests::new(limits.open_requests, limits.total_body_bytes),
-            deadlines: DeadlineLimits {
+            deadline_timing: DeadlineTiming {
                 answer_lead_us: limits.answer_lead_us,
                 sweep_interval_us: limits.deadline_sweep_us,
             },
@@ -101,62 +104,65 @@
         })
     }
 
-    /// The commands since the last call, in the order in which they are to be carried out. The
-    /// event loop calls this after each other call, until nothing comes.
+    /// Returns the commands queued since the last call, in the order in which they must be carried
+    /// out. The event loop calls this method after each call of another method, and repeats it
+    /// until it returns no commands.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Whether no request is pending.
+    /// Returns whether no request is pending.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// The ids of the requests that are still owed an answer.
-    pub fn unsettled_ids(&self) -> impl Iterator<Item = &str> {
-        self.requests.unsettled_ids()
+    /// Returns the ids of the requests that still need a final answer.
+    pub fn unsettled_request_ids(&self) -> impl Iterator<Item = &str> {
+        self.requests.unsettled_request_ids()
     }
 
-    /// Whether at least one server is ready.
-    pub fn is_ready(&self) -> bool {
+    /// Returns whether at least one server is ready.
+    pub fn has_ready_server(&self) -> bool {
         self.servers.has_ready_server()
     }
 
-    /// Whether half of the places for requests are taken.
+    /// Returns whether at least half of the request slots are in use.
     pub fn is_half_full(&self) -> bool {
         self.requests.is_half_full()
     }
 
-    /// The request of an attempt and how to send it. None: the attempt is no longer in flight.
+    /// Returns the request of an attempt and the parameters for sending the attempt. Returns `None`
+    /// if the attempt is no longer in flight.
     pub fn attempt_spec(&self, attempt: AttemptId) -> Option<(&ClientRequest, &AttemptSpec)> {
         let pending = self.requests.get(attempt.request_key)?;
         let in_flight = pending.attempt(attempt.number)?;
         Some((&pending.request, &in_flight.spec))
     }
 
-    /// The id of a request that is pending.
+    /// Returns the client's id of a request. Returns `None` if the request is no longer pending.
     pub fn request_id(&self, request_key: RequestKey) -> Option<&str> {
         Some(self.requests.get(request_key)?.request.id.as_str())
     }
 
-    /// Whether a server is ready, so far as the endpoint list tells.
-    pub fn accepts_work(&self, id: ServerId) -> bool {
+    /// Returns whether a server is ready according to the endpoint list.
+    pub fn is_server_ready(&self, id: ServerId) -> bool {
         self.servers.is_ready(id)
     }
 
-    /// Id on the wire and address of a server that is ready or draining.
-    pub fn address_of(&self, id: ServerId) -> Option<ServerAddress<'_>> {
-        self.servers.address_of(id)
+    /// Returns the wire id and address of a server that is ready or draining, and `None` for any
+    /// other server.
+    pub fn server_address(&self, id: ServerId) -> Option<ServerAddress<'_>> {
+        self.servers.server_address(id)
     }
 
-    /// Discovery has a snapshot of the endpoint list, or a change to it.
+    /// Applies a snapshot of the endpoint list, or a change to it, that discovery received.
     pub fn update_endpoints(
         &mut self,
         now: Micros,
         mode: EndpointListMode,
         mut entries: Vec<ListedServer>,
     ) {
-        self.convert_starts(now, &mut entries);
+        self.convert_start_times(now, &mut entries);
         let withdrawn = self.servers.update(mode, &entries);
         self.commands
             .extend(withdrawn.into_iter().map(Command::DrainServer));
@@ -164,31 +170,40 @@
         self.handle_event(now, Event::EndpointList { mode, endpoints });
     }
 
-    /// An object was purged at `at`, a stamp of the event bus, or with none a whole group. The cache
-    /// servers hear of it by themselves.
-    pub fn purged(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
+    /// Applies a purge that the event bus announced at `event_time_us` of its own time scale. The
+    /// purge applies to one object, or to a whole purge group if `object` is `None`. The cache
+    /// servers receive the purge independently of this proxy.
+    pub fn handle_purge_event(
+        &mut self,
+        now: Micros,
+        object: Option<String>,
+        group: u64,
+        event_time_us: Micros,
+    ) {
         match &object {
-            Some(object) => log::debug!("object {object} was purged"),
-            None => log::info!("group {group} was purged"),
+            Some(object) => log::debug!("purge of object {object} received from the event bus"),
+            None => log::info!("purge of group {group} received from the event bus"),
         }
-        let moved_us = self.reference_time.event_arrived(now, at);
-        self.move_times_back(now, moved_us);
+        let shift_us = self.reference_time.event_arrived(now, event_time_us);
+        self.report_time_shift(now, shift_us);
         let purge = Purge {
             target: PurgeTarget { object, group },
-            purged_at: self.reference_time.to_local(at),
+            purged_at: self.reference_time.to_local(event_time_us),
             permanent: false,
         };
         self.apply_purge(now, purge);
     }
 
-    /// As `purged`, but only this proxy and its peers are told, so the purge is enforced for as
-    /// long as the proxy runs. False: there is no room for it, and it is not in force.
+    /// Applies a purge that only this proxy and its peers are notified of. Because the cache
+    /// servers are not notified, the purge is enforced for as long as the proxy runs. It applies to
+    /// one object, or to a whole purge group if `object` is `None`. Returns `false` if the limit on
+    /// permanent purges is reached; the purge is then not in force.
     pub fn purge_permanently(
         &mut self,
         now: Micros,
         object: Option<String>,
         group: u64,
-        at: Micros,
+        purged_at: Micros,
     ) -> bool {
         let target = PurgeTarget { object, group };
         if !self.permanent_purges.insert(target.clone()) {
@@ -196,51 +211,57 @@
         }
         let purge = Purge {
             target,
-            purged_at: at,
+            purged_at,
             permanent: true,
         };
         self.apply_purge(now, purge);
         true
     }
 
-    /// How many further targets can be purged permanently.
+    /// Returns how many further targets can be purged permanently.
     pub fn permanent_purge_capacity(&self) -> usize {
         self.permanent_purges.remaining_capacity()
     }
 
-    /// Puts the starts of listed servers on the scale of the loop's clock.
-    fn convert_starts(&mut self, now: Micros, entries: &mut [ListedServer]) {
-        let mut moved_us = 0;
+    /// Converts the start times of listed servers from the event bus's time scale to the loop's
+    /// clock.
+    fn convert_start_times(&mut self, now: Micros, entries: &mut [ListedServer]) {
+        let mut shift_us = 0;
         for started in entries.iter().filter_map(|entry| entry.endpoint.started) {
-            moved_us += self.reference_time.event_arrived(now, started);
+            shift_us += self.reference_time.event_arrived(now, started);
         }
-        self.move_times_back(now, moved_us);
+        self.report_time_shift(now, shift_us);
         for entry in entries {
             let started = entry.endpoint.started;
             entry.endpoint.started = started.map(|at| self.reference_time.to_local(at));
         }
     }
 
-    /// Stamps that were converted before turn out to lie further back.
-    fn move_times_back(&mut self, now: Micros, by_us: Micros) {
+    /// Notifies the router that timestamps converted earlier lie `by_us` further in the past. Does
+    /// nothing if `by_us` is 0.
+    fn report_time_shift(&mut self, now: Micros, by_us: Micros) {
         if by_us > 0 {
-            log::debug!("the fleet's time is {by_us} us further ahead than it was known to be");
+            log::debug!(
+                "reference time is {by_us} us further ahead of the local clock than known before; \
+                 moving earlier purge and server start times back by that amount"
+            );
             self.handle_event(now, Event::TimesMovedBack { by_us });
         }
     }
 
-    /// When a copy with this stamp was made, on the scale of the loop's clock.
-    pub fn copy_made_at(&self, made_us: u64) -> Micros {
-        self.reference_time.to_local(made_us)
+    /// Converts the time at which a copy was made from Unix microseconds of the origin to the
+    /// loop's clock.
+    pub fn copy_made_at(&self, made_at_us: u64) -> Micros {
+        self.reference_time.to_local(made_at_us)
     }
 
     fn apply_purge(&mut self, now: Micros, purge: Purge) {
-        self.requests.tighten_max_age(now, &purge);
+        self.requests.lower_max_age(now, &purge);
         self.handle_event(now, purge.into_event(now));
     }
 
-    /// A frontend has a request. On an error nothing is kept of it, and the frontend has to reject
-    /// it.
+    /// Admits a request that a frontend received. On an error, the table keeps nothing of the
+    /// request and the frontend has to reject it.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -250,7 +271,7 @@
         let id = log::log_enabled!(log::Level::Debug).then(|| request.id.clone());
         let admitted = self.admit_unlogged(now, response_target, request);
         if let (Err(reason), Some(id)) = (&admitted, id) {
-            log::debug!("request {id}: not admitted: {reason}");
+            log::debug!("request {id}: rejected without admission: {reason}");
         }
         admitted
     }
@@ -261,12 +282,12 @@
         response_target: ResponseTarget,
         mut request: ClientRequest,
     ) -> Result<RequestKey, AdmissionError> {
-        if self.class_rules.lacks_key(&request) {
+        if self.idempotency_rules.lacks_required_key(&request) {
             return Err(AdmissionError::MissingIdempotencyKey);
         }
         request.remaining_us = request
             .remaining_us
-            .saturating_sub(self.deadlines.answer_lead_us);
+            .saturating_sub(self.deadline_timing.answer_lead_us);
         let pending = PendingRequest::new(now, response_target, request);
         let request_key = self.requests.insert(pending)?;
         self.counters.admitted += 1;
@@ -278,7 +299,7 @@
         Ok(request_key)
     }
 
-    /// The client of a request no longer waits: no answer is owed.
+    /// Records that the client of a request no longer waits, so that the request needs no answer.
     pub fn client_disconnected(&mut self, now: Micros, request_key: RequestKey) {
         let Some(pending) = self.requests.get_mut(request_key) else {
             return;
@@ -289,7 +310,10 @@
         {
             return;
         }
-        log::debug!("request {}: its client left", pending.request.id);
+        log::debug!(
+            "request {}: client disconnected before the answer",
+            pending.request.id
+        );
         self.counters.disconnected += 1;
         self.handle_event(
             now,
@@ -297,12 +321,12 @@
                 request: request_key.to_u64(),
             },
         );
-        self.dequeue_abandoned_attempt(request_key);
+        self.dequeue_unsent_attempt(request_key);
         self.release_if_complete(now, request_key);
     }
 
-    /// An upstream connection reports how an attempt ended. One that is no longer in flight is
-    /// ignored: late answers change nothing.
+    /// Records how an attempt ended, as an upstream connection reports it. A report on an attempt
+    /// that is no longer in flight is ignored, so that late answers change nothing.
     pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, mut result: AttemptResult) {
         let request_key = attempt.request_key;
         let Some(pending) = self.requests.get_mut(request_key) else {
@@ -312,20 +336,23 @@
             return;
         };
         result.outcome = ended.effective_outcome(result.outcome);
-        pending.note_outcome(result.outcome);
+        pending.record_outcome(result.outcome);
         log::debug!(
-            "request {}: attempt {} ended: {:?}",
+            "request {}: attempt {} at server #{:016x} ended: {:?}",
             pending.request.id,
             attempt.number,
+            ended.spec.server,
             result.outcome
         );
-        pending.trace.attempt_ended(ended.trace_event(now, &result));
-        if let Some(made_us) = result
-            .copy_made_us
+        pending
+            .trace
+            .attempt_ended(ended.attempt_trace(now, &result));
+        if let Some(made_at_us) = result
+            .copy_made_at_us
             .filter(|_| result.outcome == Outcome::Ok)
         {
-            let moved_us = self.reference_time.copy_arrived(now, made_us);
-            self.move_times_back(now, moved_us);
+            let shift_us = self.reference_time.copy_arrived(now, made_at_us);
+            self.report_time_shift(now, shift_us);
         }
         let content = result.content.take();
         if let Some(content) = content.filter(|_| result.outcome == Outcome::Ok) {
@@ -337,8 +364,8 @@
         self.release_if_complete(now, request_key);
     }
 
-    /// An upstream connection reports how a probe of a server ended, and how long it took in
-    /// microseconds.
+    /// Records how a probe of a server ended, as an upstream connection reports it. `took_us` is
+    /// the duration of the probe.
     pub fn probe_ended(
         &mut self,
         now: Micros,
@@ -356,7 +383,7 @@
         self.handle_event(now, event);
     }
 
-    /// A timer of the table has fired.
+    /// Handles a timer of the table that has fired.
     pub fn timer_fired(&mut self, now: Micros, timer: RequestTimer) {
         match timer {
             RequestTimer::Router(tag) => self.handle_event(now, Event::Timer { tag }),
@@ -365,8 +392,8 @@
         }
     }
 
-    /// Fails every request that is still owed an answer. For a shutdown, when the process may be
-    /// killed at any moment: `Failed` is the answer that claims nothing about what ran.
+    /// Fails every request that still needs a final answer. A shutdown calls this when the process
+    /// may be killed at any moment: `Failed` is the answer that claims nothing about what ran.
     pub fn fail_all_pending(&mut self, now: Micros) {
         for request_key in self.requests.keys() {
             self.fail_if_unsettled(now, request_key);
--- a/crates/proxy/src/request_table/pending_requests.rs
+++ b/crates/proxy/src/request_table/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The pending requests, bounded in number and in the bytes of their bodies.
+//! The pending requests, bounded by their number and by the total size of their bodies.
 
 use super::admission::AdmissionError;
 use super::purges::Purge;
@@ -7,10 +7,10 @@
 use edge_routing::Micros;
 use std::collections::HashSet;
 
-/// The pending requests by their keys.
+/// Stores the pending requests by their keys.
 ///
-/// Invariants: `ids` holds the id of every request in the slab, no two of which are the same;
-/// `body_bytes` is the sum of the lengths of their bodies.
+/// Invariants: `ids` holds the id of every request in the slab, and no two requests have the same
+/// id. `body_bytes` is the total length of the bodies of all requests.
 pub(super) struct PendingRequests {
     slab: Slab<PendingRequest>,
     ids: HashSet<String>,
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Adds a request, unless a limit or the id of another one forbids it.
+    /// Adds a request. Returns an error if a limit would be exceeded or another pending request has
+    /// the same id.
     pub(super) fn insert(&mut self, pending: PendingRequest) -> Result<RequestKey, AdmissionError> {
         let body_bytes = self.body_bytes + pending.request.body.len();
         if body_bytes > self.body_bytes_limit {
@@ -47,8 +48,8 @@
         Ok(request_key)
     }
 
-    /// Takes out a request that is settled and has no attempt in flight. None: it is not there, or
-    /// not complete.
+    /// Removes and returns a request that is settled and has no attempt in flight. Returns `None`
+    /// if the request is not present or not complete.
     pub(super) fn remove_if_complete(&mut self, request_key: RequestKey) -> Option<PendingRequest> {
         if !self.get(request_key)?.is_complete() {
             return None;
@@ -67,37 +68,37 @@
         self.slab.get_mut(request_key)
     }
 
-    /// Whether a request is still owed its final answer.
+    /// Returns whether a request is present and still needs its final answer.
     pub(super) fn is_unsettled(&self, request_key: RequestKey) -> bool {
         self.get(request_key)
             .is_some_and(|pending| !pending.is_settled())
     }
 
-    /// Makes the attempts in flight accept no copy from before a purge. One that waits for its
-    /// connection was decided on before the purge, and may begin after the grace that the router
-    /// allows for.
-    pub(super) fn tighten_max_age(&mut self, now: Micros, purge: &Purge) {
+    /// Makes the attempts in flight accept no copy made before a purge. This matters for an attempt
+    /// that still waits for its connection: the router decided on it before the purge, and it may
+    /// be sent after the grace period that the router allows for purges.
+    pub(super) fn lower_max_age(&mut self, now: Micros, purge: &Purge) {
         let max_age_us = purge.max_age_us(now);
         for request_key in self.slab.keys() {
             let Some(pending) = self.slab.get_mut(request_key) else {
                 continue;
             };
-            if !purge.target.concerns(&pending.request) {
+            if !purge.target.applies_to(&pending.request) {
                 continue;
             }
             if let Some(in_flight) = &mut pending.in_flight {
-                in_flight.tighten_max_age(max_age_us);
+                in_flight.lower_max_age(max_age_us);
             }
         }
     }
 
-    /// The ids of the requests that are still owed an answer.
-    pub(super) fn unsettled_ids(&self) -> impl Iterator<Item = &str> {
+    /// Returns the ids of the requests that still need a final answer.
+    pub(super) fn unsettled_request_ids(&self) -> impl Iterator<Item = &str> {
         let pending = self.slab.values().filter(|pending| !pending.is_settled());
         pending.map(|pending| pending.request.id.as_str())
     }
 
-    /// The keys of all requests, in the order of their slots.
+    /// Returns the keys of all requests, in the order of their slots.
     pub(super) fn keys(&self) -> Vec<RequestKey> {
         self.slab.keys()
     }
--- a/crates/proxy/src/request_table/purges.rs
+++ b/crates/proxy/src/request_table/purges.rs
@@ -1,10 +1,10 @@
-//! Purges: what one applies to, and the bounded set of those that are permanent.
+//! The targets of purges, and the bounded set of permanent purges.
 
 use super::request::ClientRequest;
 use edge_routing::{Event, Micros};
 use std::collections::BTreeSet;
 
-/// What a purge applies to: one object, or with none a whole group.
+/// What a purge applies to: one object, or a whole purge group if `object` is `None`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PurgeTarget {
     pub(super) object: Option<String>,
@@ -12,8 +12,8 @@
 }
 
 impl PurgeTarget {
-    /// Whether a request asks for something that was purged.
-    pub(super) fn concerns(&self, request: &ClientRequest) -> bool {
+    /// Returns whether a request is for an object that the purge applies to.
+    pub(super) fn applies_to(&self, request: &ClientRequest) -> bool {
         match &self.object {
             Some(object) => request.object == *object,
             None => request.group == self.group,
@@ -21,17 +21,18 @@
     }
 }
 
-/// A purge that took place at a time, in microseconds of the loop's clock.
+/// A purge that took place at `purged_at`, in microseconds of the loop's clock.
 pub(super) struct Purge {
     pub(super) target: PurgeTarget,
     pub(super) purged_at: Micros,
-    /// The cache servers hear nothing of it, so the proxy enforces it for as long as it runs.
+    /// Whether the purge is enforced for as long as the proxy runs, because the cache servers are
+    /// not notified of it.
     pub(super) permanent: bool,
 }
 
 impl Purge {
-    /// The oldest copy that this purge leaves valid, as an age; never 0, which would ask for a copy
-    /// from the future.
+    /// Returns the maximum age of a copy that this purge leaves valid, in microseconds. The result
+    /// is at least 1, because 0 would require a copy from the future.
     pub(super) fn max_age_us(&self, now: Micros) -> Micros {
         now.saturating_sub(self.purged_at).max(1)
     }
@@ -46,8 +47,8 @@
     }
 }
 
-/// The targets of all permanent purges, up to a capacity. A purge of the same target takes no
-/// further room.
+/// The targets of all permanent purges, up to a capacity. Another purge of the same target uses no
+/// further capacity.
 pub(super) struct PermanentPurges {
     targets: BTreeSet<PurgeTarget>,
     capacity: usize,
@@ -61,12 +62,12 @@
         }
     }
 
-    /// How many further targets can be added.
+    /// Returns how many further targets can be added.
     pub(super) fn remaining_capacity(&self) -> usize {
         self.capacity.saturating_sub(self.targets.len())
     }
 
-    /// Adds a target. False: there is no room for it.
+    /// Adds a target. Returns `false` if the capacity is used up.
     pub(super) fn insert(&mut self, target: PurgeTarget) -> bool {
         if self.remaining_capacity() == 0 && !self.targets.contains(&target) {
             return false;
--- a/crates/proxy/src/request_table/request.rs
+++ b/crates/proxy/src/request_table/request.rs
@@ -1,53 +1,53 @@
-//! A request of a client, its final answer, and what the table keeps while the request is pending.
+//! A client's request, its final answer, and the state kept while the request is pending.
 
-use super::attempt::{AttemptOrder, InFlightAttempt};
+use super::attempt::{InFlightAttempt, RoutingDecision};
 use super::trace::{RequestEnding, RequestTrace};
 use crate::net::SlabKey;
 use edge_routing::{Micros, Outcome, Request};
 
-/// The key of a pending request. A later request in the same slot has another key, so what comes
-/// late for the one does not reach the other.
+/// Identifies a pending request. A later request in the same slot gets a different key, so events
+/// that arrive late for the earlier request don't reach the later one.
 pub type RequestKey = SlabKey;
 
-/// Where the final answer of a request goes: a client connection of some frontend, and the
-/// request's number on it.
+/// The destination of a final answer: a client connection of a frontend, and the request's number
+/// on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseTarget {
-    /// The client connection.
+    /// Key of the client connection.
     pub connection: SlabKey,
-    /// The frontend's number for the request on that connection.
+    /// Number that the frontend gave the request on that connection.
     pub stream: u32,
 }
 
-/// A request as a frontend has parsed it, independent of the frontend's wire.
+/// A request parsed by a frontend, independent of the frontend's protocol.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// The client's id of the request, passed on unchanged to the cache servers.
+    /// The client's id of the request. It is passed on unchanged to the cache servers.
     pub id: String,
-    /// Name of the request class, one of the settings' classes.
+    /// Name of the request class, one of the classes in the settings.
     pub class: String,
-    /// The object.
+    /// Name of the requested object.
     pub object: String,
     /// Number of the part within the object.
     pub part: u64,
-    /// The object's group, which can be purged as a whole.
+    /// The object's purge group, which can be purged as a whole.
     pub group: u64,
-    /// Size of the part in KB; 0: unknown.
+    /// Size of the part in KB. 0 means that the size is unknown.
     pub size_kb: f64,
-    /// How much longer the client waits, in microseconds. The table subtracts the lead that an
-    /// answer needs.
+    /// How much longer the client waits, in microseconds. On admission, the table subtracts the
+    /// time that an answer needs to arrive.
     pub remaining_us: Micros,
-    /// The client's idempotency key, for classes that are retried under one.
+    /// The client's idempotency key, for classes whose requests are retried under one.
     pub idempotency_key: Option<String>,
-    /// Tag of the copy that the client holds, if any: the server may then answer
-    /// `Content::Unchanged`.
+    /// Tag of the copy that the client holds, if any. With a tag, the server may answer
+    /// `Content::NotModified`.
     pub client_copy_tag: Option<String>,
-    /// Payload of a write; empty for a read.
+    /// Payload of a write. It is empty for a read.
     pub body: Vec<u8>,
 }
 
 impl ClientRequest {
-    /// The request as the router gets it, under this key.
+    /// Returns the request in the router's form, with `request_key` as its id.
     pub(super) fn to_routing_request(&self, request_key: RequestKey) -> Request {
         Request {
             id: request_key.to_u64(),
@@ -63,50 +63,52 @@
     }
 }
 
-/// What a cache server served for a request.
+/// The content that a cache server served for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// The bytes of the part, and the tag of the copy.
     Object {
-        /// The bytes.
+        /// The bytes of the part.
         bytes: Vec<u8>,
-        /// The tag, if the server gave one.
+        /// The tag of the copy, if the server gave one.
         tag: Option<String>,
     },
-    /// The client's copy is the one that would be served.
-    Unchanged,
+    /// The client's copy is the same as the one that would be served.
+    NotModified,
 }
 
-/// The final answer to a request; the frontends translate it to their wire.
+/// The final answer to a request. The frontends translate it to their protocols.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A cache server served it.
+    /// A cache server served the request.
     Served(Content),
-    /// Rejected before anything ran: a retry by the client does no harm.
+    /// The request was rejected before anything ran, so a retry by the client does no harm.
     Rejected {
-        /// After how many microseconds a retry is advised.
+        /// How long to wait before a retry, in microseconds. `None` gives no advice.
         retry_after_us: Option<Micros>,
     },
-    /// Failed; a write may have run.
+    /// The request failed. A write may have run.
     Failed,
 }
 
 /// A request from its admission until it is settled and has no attempt in flight.
 ///
+/// A request is settled once its final answer is given or its client has disconnected.
+///
 /// Invariants:
-/// - Exactly one final answer: the response target is held from the admission on and given out by
-///   `settle` alone, once. Without it no answer can be given, so nothing that comes later can cause
-///   a second one.
+/// - Exactly one final answer: the response target is held from the admission on and is released
+///   only by `settle`, once. No answer can be given without it, so no later event can cause a
+///   second answer.
 /// - At most one attempt is in flight.
 pub(super) struct PendingRequest {
-    /// Where the final answer goes; none once the request is settled.
+    /// Where the final answer goes. `None` once the request is settled.
     response_target: Option<ResponseTarget>,
     pub(super) request: ClientRequest,
-    /// When the client stops waiting, less the lead that an answer needs.
+    /// When the client stops waiting, less the time that an answer needs to arrive.
     pub(super) deadline: Micros,
-    /// How many attempts were started so far: the number of the next one.
+    /// Number of attempts started so far, which is the number of the next attempt.
     attempts_started: u32,
-    /// An attempt ended in a way that does not prove that it never ran.
+    /// Whether any attempt ended in a way that does not prove that the request never ran.
     may_have_run: bool,
     pub(super) in_flight: Option<InFlightAttempt>,
     pub(super) trace: RequestTrace,
@@ -129,61 +131,69 @@
         }
     }
 
-    /// Whether the final answer is given, or none is owed because the client disconnected.
+    /// Returns whether the final answer is given, or no answer is needed because the client
+    /// disconnected.
     pub(super) fn is_settled(&self) -> bool {
         self.response_target.is_none()
     }
 
-    /// Whether nothing keeps the request in the table any more.
+    /// Returns whether the request is settled and has no attempt in flight, so that it can be
+    /// removed from the table.
     pub(super) fn is_complete(&self) -> bool {
         self.is_settled() && self.in_flight.is_none()
     }
 
-    /// Settles the request and gives out where its answer goes. None: it was settled before.
+    /// Settles the request and returns where its answer goes. Returns `None` if the request was
+    /// already settled.
     pub(super) fn settle(&mut self, now: Micros, ending: RequestEnding) -> Option<ResponseTarget> {
         let target = self.response_target.take()?;
         self.trace.end(now, ending);
         Some(target)
     }
 
-    /// Records how an attempt ended, for whether the request may be repeated.
-    pub(super) fn note_outcome(&mut self, outcome: Outcome) {
+    /// Records how an attempt ended, which decides whether the request may be retried.
+    pub(super) fn record_outcome(&mut self, outcome: Outcome) {
         self.may_have_run |= !outcome.never_ran();
     }
 
-    /// Whether the request may have taken effect, or may do so yet.
+    /// Returns whether the request may have taken effect, or may still do so.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run || self.in_flight.is_some()
     }
 
-    /// Takes the next attempt as in flight. Its deadline is never behind the request's.
-    pub(super) fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> InFlightAttempt {
+    /// Starts the next attempt and records it as in flight. The deadline of the attempt is never
+    /// later than that of the request.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Micros,
+        decision: RoutingDecision,
+    ) -> InFlightAttempt {
         let number = self.attempts_started;
         self.attempts_started += 1;
-        let deadline = order
+        let deadline = decision
             .timeout_us
             .map_or(self.deadline, |timeout_us| now + timeout_us)
             .min(self.deadline);
-        let attempt = InFlightAttempt::new(now, number, deadline, order);
+        let attempt = InFlightAttempt::new(now, number, deadline, decision);
         self.in_flight = Some(attempt);
         attempt
     }
 
-    /// The attempt in flight, if it is the one of this number.
+    /// Returns the attempt in flight if it has this number.
     pub(super) fn attempt(&self, number: u32) -> Option<&InFlightAttempt> {
         self.in_flight
             .as_ref()
             .filter(|attempt| attempt.number == number)
     }
 
-    /// As `attempt`, to change it.
+    /// Returns the attempt in flight for modification if it has this number.
     pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut InFlightAttempt> {
         self.in_flight
             .as_mut()
             .filter(|attempt| attempt.number == number)
     }
 
-    /// Takes the attempt of this number as ended, if it is the one in flight.
+    /// Removes and returns the attempt in flight if it has this number.
     pub(super) fn end_attempt(&mut self, number: u32) -> Option<InFlightAttempt> {
         self.in_flight.take_if(|attempt| attempt.number == number)
     }
--- a/crates/proxy/src/request_table/router_actions.rs
+++ b/crates/proxy/src/request_table/router_actions.rs
@@ -1,7 +1,7 @@
-//! Drives the router: each event goes in, and the actions that come out become changes of the table
-//! and commands.
+//! Passes events to the router and carries out the router's actions, as changes of the request
+//! table and as commands to the event loop.
 
-use super::attempt::{AttemptId, AttemptOrder};
+use super::attempt::{AttemptId, RoutingDecision};
 use super::command::{Command, RequestTimer};
 use super::request::{Answer, RequestKey};
 use super::RequestTable;
@@ -9,8 +9,8 @@
 use edge_routing::{Action, Event, Micros, Outcome};
 
 impl RequestTable {
-    /// Tells the router of an event, and carries out its actions in order. No action leads to a
-    /// further event at once, so this never calls itself.
+    /// Passes an event to the router and carries out the resulting actions in order. No action
+    /// leads to another event at once, so this method is never called recursively.
     pub(super) fn handle_event(&mut self, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         self.router.handle(now, event, &mut actions);
@@ -29,13 +29,13 @@
                 fill,
                 send_by,
             } => {
-                let order = AttemptOrder {
+                let decision = RoutingDecision {
                     server,
                     timeout_us,
                     fill,
                     send_by,
                 };
-                self.start_attempt(now, SlabKey::from_u64(request), order);
+                self.start_attempt(now, SlabKey::from_u64(request), decision);
             }
             Action::CancelAttempt { request, attempt } => {
                 let attempt = AttemptId {
@@ -59,13 +59,13 @@
                     .push(Command::SetTimer(at, RequestTimer::Router(tag)));
             }
             Action::Probe { server } => self.commands.push(Command::Probe(server)),
-            // Discovery pushes the list, from whichever source the configuration names.
+            // Discovery delivers the endpoint list without a request, from the configured source.
             Action::WatchEndpoints => {}
             Action::Log { line } => log::info!("{line}"),
         }
     }
 
-    fn start_attempt(&mut self, now: Micros, request_key: RequestKey, order: AttemptOrder) {
+    fn start_attempt(&mut self, now: Micros, request_key: RequestKey, decision: RoutingDecision) {
         let Some(pending) = self.requests.get(request_key) else {
             return;
         };
@@ -75,10 +75,10 @@
         let Some(pending) = self.requests.get_mut(request_key) else {
             return;
         };
-        let in_flight = pending.start_attempt(now, order);
+        let in_flight = pending.start_attempt(now, decision);
         let request_deadline = pending.deadline;
         log::debug!(
-            "request {}: attempt {} at #{:016x}",
+            "request {}: starting attempt {} at server #{:016x}",
             pending.request.id,
             in_flight.number,
             in_flight.spec.server
@@ -89,7 +89,7 @@
         };
         self.counters.attempts += 1;
         self.commands.push(Command::SendAttempt(attempt));
-        // At the request's deadline its own timer ends the attempt.
+        // At the deadline of the request, the deadline timer ends the attempt.
         if in_flight.spec.deadline < request_deadline {
             self.commands.push(Command::SetTimer(
                 in_flight.spec.deadline,
--- a/crates/proxy/src/request_table/servers.rs
+++ b/crates/proxy/src/request_table/servers.rs
@@ -1,4 +1,4 @@
-//! The servers that discovery lists: wire id, address and lifecycle state of each.
+//! The servers that discovery lists, with the wire id, address and lifecycle state of each.
 
 use edge_routing::{Endpoint, EndpointListMode, EndpointState, ServerId};
 use fnv::FnvHasher;
@@ -6,31 +6,31 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-/// An entry of the endpoint list, as discovery gives it.
+/// An entry of the endpoint list, as discovery delivers it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The entry that the router gets.
+    /// The entry in the router's form.
     pub endpoint: Endpoint,
-    /// The server's id on the wire.
+    /// Id of the server in the wire protocols.
     pub wire_id: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
 }
 
-/// The number of a server, from its id on the wire (FNV-1a, 64 bits). It is the same at every
-/// proxy: the router's order of servers is hashed from it.
+/// Returns the number of a server: the FNV-1a hash (64 bits) of its wire id. The number is the same
+/// at every proxy, because the router computes its order of servers from it.
 pub fn server_id(wire_id: &str) -> ServerId {
     let mut hasher = FnvHasher::default();
     hasher.write(wire_id.as_bytes());
     hasher.finish()
 }
 
-/// How a server is named on the wire, and where it is reached.
+/// The wire id and address of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerAddress<'a> {
-    /// Its id on the wire.
+    /// Id of the server in the wire protocols.
     pub wire_id: &'a str,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
 }
 
@@ -40,17 +40,18 @@
     state: EndpointState,
 }
 
-/// The servers that are ready or draining. One that is gone is forgotten: new servers come under
-/// new ids all day long.
+/// The servers that are ready or draining. A server that is gone is removed, because new servers
+/// with new ids are added all day long.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
     servers: BTreeMap<ServerId, KnownServer>,
 }
 
 impl ServerDirectory {
-    /// Applies a snapshot of the list or a change to it. Returns the servers that accept no more
-    /// work from here on, in the order of the change; a server that a snapshot does not name is
-    /// gone.
+    /// Applies a snapshot of the endpoint list or a change to it. A server that a snapshot does not
+    /// list is gone. Returns the servers that stop being ready with this update, and so accept no
+    /// more work. Servers missing from a snapshot come first, then the others in the order of the
+    /// entries.
     pub(super) fn update(
         &mut self,
         mode: EndpointListMode,
@@ -59,17 +60,18 @@
         let mut withdrawn = Vec::new();
         if mode == EndpointListMode::Snapshot {
             for id in self.missing_from(entries) {
-                withdrawn.extend(self.change_state(id, EndpointState::Gone));
+                withdrawn.extend(self.set_state(id, EndpointState::Gone));
             }
         }
         for entry in entries {
             log::info!(
-                "cache server {} at {} is {:?}",
+                "cache server {} (#{:016x}) at {} is listed as {:?}",
                 entry.wire_id,
+                entry.endpoint.id,
                 entry.address,
                 entry.endpoint.state
             );
-            withdrawn.extend(self.list(entry));
+            withdrawn.extend(self.apply_entry(entry));
         }
         self.servers
             .retain(|_, server| server.state != EndpointState::Gone);
@@ -85,9 +87,9 @@
             .collect()
     }
 
-    /// Takes over one entry. A server new to the directory counts as ready before, so that it is
-    /// withdrawn too if its first entry says draining.
-    fn list(&mut self, entry: &ListedServer) -> Option<ServerId> {
+    /// Applies one entry. A server new to the directory counts as previously ready, so that it is
+    /// also returned as withdrawn if its first entry says that it is draining.
+    fn apply_entry(&mut self, entry: &ListedServer) -> Option<ServerId> {
         let id = entry.endpoint.id;
         let server = self.servers.entry(id).or_insert_with(|| KnownServer {
             wire_id: entry.wire_id.clone(),
@@ -95,33 +97,34 @@
             state: EndpointState::Ready,
         });
         server.address = entry.address;
-        self.change_state(id, entry.endpoint.state)
+        self.set_state(id, entry.endpoint.state)
     }
 
-    /// Changes a server's state, and returns it if this ends its being ready.
-    fn change_state(&mut self, id: ServerId, state: EndpointState) -> Option<ServerId> {
+    /// Sets the state of a server. Returns the server's id if the server was ready and no longer
+    /// is.
+    fn set_state(&mut self, id: ServerId, state: EndpointState) -> Option<ServerId> {
         let server = self.servers.get_mut(&id)?;
         let before = std::mem::replace(&mut server.state, state);
         let was_withdrawn = before == EndpointState::Ready && state != EndpointState::Ready;
         was_withdrawn.then_some(id)
     }
 
-    /// Whether any server is ready.
+    /// Returns whether any server is ready.
     pub(super) fn has_ready_server(&self) -> bool {
         self.servers
             .values()
             .any(|server| server.state == EndpointState::Ready)
     }
 
-    /// Whether a server is ready.
+    /// Returns whether a server is ready.
     pub(super) fn is_ready(&self, id: ServerId) -> bool {
         self.servers
             .get(&id)
             .is_some_and(|server| server.state == EndpointState::Ready)
     }
 
-    /// Id on the wire and address of a server that is not gone.
-    pub(super) fn address_of(&self, id: ServerId) -> Option<ServerAddress<'_>> {
+    /// Returns the wire id and address of a server, or `None` if the server is gone.
+    pub(super) fn server_address(&self, id: ServerId) -> Option<ServerAddress<'_>> {
         let server = self.servers.get(&id)?;
         Some(ServerAddress {
             wire_id: &server.wire_id,
@@ -129,7 +132,7 @@
         })
     }
 
-    /// Id on the wire of a server that is not gone.
+    /// Returns the wire id of a server, or `None` if the server is gone.
     pub(super) fn wire_id_of(&self, id: ServerId) -> Option<&str> {
         let server = self.servers.get(&id)?;
         Some(server.wire_id.as_str())
--- a/crates/proxy/src/request_table/settlement.rs
+++ b/crates/proxy/src/request_table/settlement.rs
@@ -1,5 +1,5 @@
-//! How requests and attempts come to their end: the final answer, deadlines, cancellation, and the
-//! release of the slot.
+//! The end of requests and attempts: final answers, deadlines, cancellation, and the release of
+//! request slots.
 
 use super::attempt::AttemptId;
 use super::command::{Command, RequestTimer};
@@ -9,8 +9,8 @@
 use edge_routing::{Event, Micros, Outcome};
 
 impl RequestTable {
-    /// Gives a request its final answer. The one place where answers are given; a settled request
-    /// gets none.
+    /// Gives a request its final answer. All answers are given here. A request that is already
+    /// settled gets no further answer.
     pub(super) fn give_answer(&mut self, now: Micros, request_key: RequestKey, answer: Answer) {
         let Some(pending) = self.requests.get(request_key) else {
             return;
@@ -18,7 +18,7 @@
         if pending.is_settled() {
             return;
         }
-        let answer = self.honest_answer(now, pending, answer);
+        let answer = self.permitted_answer(now, pending, answer);
         let Some(pending) = self.requests.get_mut(request_key) else {
             return;
         };
@@ -26,7 +26,7 @@
             return;
         };
         log::debug!(
-            "request {}: {}",
+            "request {}: final result: {}",
             pending.request.id,
             RequestEnding::from(&answer)
         );
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Asks for an attempt to be cancelled, unless it was cancelled before. It stays in flight
-    /// until the upstream connection reports it ended; a report of `Cancelled` then counts as
-    /// `outcome`.
+    /// Requests the cancellation of an attempt, unless it was already cancelled. The attempt stays
+    /// in flight until the upstream connection reports that it has ended. A report of `Cancelled`
+    /// is then replaced by `outcome`.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(pending) = self.requests.get_mut(attempt.request_key) else {
             return;
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Takes back an attempt that the router left in flight when its client disconnected. It may go
-    /// on where the settings don't allow cancellation, but what is not written yet must not begin
-    /// in any case.
-    pub(super) fn dequeue_abandoned_attempt(&mut self, request_key: RequestKey) {
+    /// Removes an attempt that the router left in flight when its client disconnected, if no byte
+    /// of the attempt is written yet. An attempt that is being sent may continue where the settings
+    /// don't allow cancellation, but an unsent one must never be sent.
+    pub(super) fn dequeue_unsent_attempt(&mut self, request_key: RequestKey) {
         let Some(pending) = self.requests.get(request_key) else {
             return;
         };
@@ -78,20 +78,24 @@
         self.commands.push(Command::DequeueAttempt(attempt, server));
     }
 
-    /// Sets the timer for a request's deadline, or for the next sweep on the way there: timers
-    /// can't be stopped, and those of a flood of short requests with long deadlines would add up.
+    /// Sets a timer for the request's deadline, or for an earlier check if the deadline is far
+    /// away. Timers can't be stopped, so with long deadlines the timers of a flood of short
+    /// requests would accumulate.
     pub(super) fn set_deadline_timer(&mut self, now: Micros, request_key: RequestKey) {
         if let Some(pending) = self.requests.get(request_key) {
-            let at = pending.deadline.min(now + self.deadlines.sweep_interval_us);
+            let at = pending
+                .deadline
+                .min(now + self.deadline_timing.sweep_interval_us);
             self.commands
                 .push(Command::SetTimer(at, RequestTimer::Deadline(request_key)));
         }
     }
 
-    /// Ends a request at its deadline; before it, sets the next timer. The attempt in flight has
-    /// timed out, and the router has the last word, which can't be a retry. The same holds for an
-    /// attempt that a disconnected client left behind where the settings don't allow cancellation:
-    /// its answer may never come.
+    /// Ends a request whose deadline has passed, and sets the next timer for any other request. An
+    /// attempt in flight ends with a time-out, and the router then decides on the final answer; it
+    /// can't decide on a retry any more. The same applies to an attempt that continues after its
+    /// client disconnected because the settings don't allow cancellation: its answer may never
+    /// come.
     pub(super) fn check_deadline(&mut self, now: Micros, request_key: RequestKey) {
         let Some(pending) = self.requests.get(request_key) else {
             return;
@@ -108,14 +112,16 @@
             self.attempt_ended(now, attempt, Outcome::Timeout.into());
         }
         if self.requests.is_unsettled(request_key) {
-            // Keeps the promise of one answer against a router that holds a request past its
-            // deadline.
-            log::warn!("a request was still unanswered at its deadline");
+            // Guarantees a final answer even if the router holds a request past its deadline.
+            log::warn!(
+                "request {}: the router gave no answer by the deadline; failing the request",
+                self.request_id(request_key).unwrap_or_default()
+            );
             self.fail_if_unsettled(now, request_key);
         }
     }
 
-    /// Fails a request that is still owed its answer, and takes it away from the router.
+    /// Fails a request that still needs its answer, and removes the request from the router.
     pub(super) fn fail_if_unsettled(&mut self, now: Micros, request_key: RequestKey) {
         if !self.requests.is_unsettled(request_key) {
             return;
--- a/crates/proxy/src/request_table/tests.rs
+++ b/crates/proxy/src/request_table/tests.rs
@@ -1,13 +1,13 @@
-//! Parts of the request table, each alone: server numbers, the trace, the log rate limit, permanent
-//! purges.
+//! Tests of single parts of the request table: server numbers, traces, the log rate limit, and
+//! permanent purges.
 
 use super::purges::{PermanentPurges, PurgeTarget};
 use super::servers::server_id;
-use super::{LogRateLimiter, RequestEnding, RequestTrace, SuppressedLines, TraceEvent};
+use super::{AttemptTrace, LogRateLimiter, RequestEnding, RequestTrace, SuppressedLines};
 use edge_routing::{FillResult, Outcome};
 
-fn rejected_attempt() -> TraceEvent {
-    TraceEvent {
+fn rejected_attempt() -> AttemptTrace {
+    AttemptTrace {
         server: 1,
         source: Some(2),
         started_at: 1_000_500,
@@ -21,7 +21,7 @@
 fn rejected_after_a_retry() -> RequestTrace {
     let mut trace = RequestTrace::new(1_000_000);
     trace.attempt_ended(rejected_attempt());
-    trace.attempt_ended(TraceEvent {
+    trace.attempt_ended(AttemptTrace {
         server: 3,
         source: Some(3),
         fill_result: FillResult::Unknown,
@@ -34,43 +34,44 @@
 
 #[test]
 fn the_trace_line_shows_every_attempt() {
-    let line = rejected_after_a_retry().line(|id| (id < 3).then_some("s-1"));
-    let first = "0.5 to 20.0: s-1 from s-1 Rejected SourceUnreachable ttfb 7.5";
-    let second = "0.5 to 20.0: #0000000000000003 Rejected";
+    let line = rejected_after_a_retry().to_log_line(|id| (id < 3).then_some("s-1"));
+    let first = "attempt from 0.5 to 20.0 ms at s-1, fill source s-1: \
+                 Rejected, SourceUnreachable, fill TTFB 7.5 ms";
+    let second = "attempt from 0.5 to 20.0 ms at #0000000000000003: Rejected";
     assert_eq!(line, format!("rejected after 30.0 ms; {first}; {second}"));
 }
 
 #[test]
-fn a_rejected_request_is_not_smooth() {
-    assert!(!rejected_after_a_retry().is_smooth(2_000_000));
+fn a_rejected_request_is_not_promptly_served() {
+    assert!(!rejected_after_a_retry().is_promptly_served(2_000_000));
     let mut without_retry = RequestTrace::new(0);
     without_retry.attempt_ended(rejected_attempt());
     without_retry.end(50, RequestEnding::Rejected);
-    assert!(!without_retry.is_smooth(100));
+    assert!(!without_retry.is_promptly_served(100));
 }
 
 #[test]
-fn a_request_served_by_a_retry_is_not_smooth() {
+fn a_request_served_by_a_retry_is_not_promptly_served() {
     let mut trace = RequestTrace::new(0);
     trace.attempt_ended(rejected_attempt());
     trace.attempt_ended(rejected_attempt());
     trace.end(50, RequestEnding::Served);
-    assert!(!trace.is_smooth(100));
+    assert!(!trace.is_promptly_served(100));
 }
 
 #[test]
-fn a_request_served_by_its_first_attempt_is_smooth_in_the_first_half_of_its_time() {
+fn a_request_served_by_its_first_attempt_is_promptly_served_in_the_first_half_of_its_time() {
     let mut trace = RequestTrace::new(0);
     trace.attempt_ended(rejected_attempt());
     trace.end(50, RequestEnding::Served);
-    assert!(trace.is_smooth(100));
-    assert!(!trace.is_smooth(99));
+    assert!(trace.is_promptly_served(100));
+    assert!(!trace.is_promptly_served(99));
 }
 
 #[test]
 fn lines_beyond_the_rate_are_suppressed_and_counted_on_the_next_line() {
     let mut limiter = LogRateLimiter::new(2);
-    let mut take = |at| limiter.take(at);
+    let mut take = |at| limiter.try_acquire(at);
     let none_suppressed = Some(SuppressedLines(0));
     assert_eq!(
         [take(0), take(1), take(2), take(999_999)],
@@ -83,13 +84,13 @@
 }
 
 #[test]
-fn the_remark_on_suppressed_lines_is_empty_for_none() {
+fn the_remark_on_suppressed_lines_is_empty_if_none_is_suppressed() {
     assert_eq!(SuppressedLines(0).to_string(), "");
     assert_eq!(SuppressedLines(2).to_string(), " (2 lines suppressed)");
 }
 
 #[test]
-fn permanent_purges_are_bounded_and_a_repeated_one_takes_no_room() {
+fn permanent_purges_are_bounded_and_a_repeated_purge_uses_no_capacity() {
     let group = |group| PurgeTarget {
         object: None,
         group,
--- a/crates/proxy/src/request_table/trace.rs
+++ b/crates/proxy/src/request_table/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of a request: its attempts from first to last and its ending, for one line in the log.
+//! The trace of a request: its attempts in order and how it ended, written as one log line.
 
 use super::log_rate::LogRateLimiter;
 use super::request::{Answer, PendingRequest};
@@ -6,33 +6,34 @@
 use edge_routing::{FillResult, Micros, Outcome, ServerId};
 use std::fmt::{self, Write};
 
-/// An attempt that has ended. Times in microseconds of the loop's clock.
+/// The trace of an attempt that has ended. Times are in microseconds of the loop's clock.
 #[derive(Clone, Copy, Debug)]
-pub struct TraceEvent {
-    /// The cache server.
+pub struct AttemptTrace {
+    /// The cache server that the attempt was sent to.
     pub server: ServerId,
-    /// The source of its fill; the server itself: no fill.
+    /// The fill source. If it is `server` itself, the attempt allowed no fill. `None` means that
+    /// the server could serve only what it had cached.
     pub source: Option<ServerId>,
     /// When the attempt was started.
     pub started_at: Micros,
-    /// When it ended.
+    /// When the attempt ended.
     pub ended_at: Micros,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How the answer was made.
+    /// How the server obtained the answer.
     pub fill_result: FillResult,
-    /// Time to the first byte of the fill, in microseconds; 0: no fill, or unknown.
+    /// Time to first byte of the fill, in microseconds. 0 means no fill, or an unknown time.
     pub fill_ttfb_us: Micros,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// A cache server served it.
+    /// A cache server served the request.
     Served,
-    /// It was rejected.
+    /// The request was rejected.
     Rejected,
-    /// It failed.
+    /// The request failed.
     Failed,
     /// The client disconnected before the answer.
     ClientDisconnected,
@@ -65,17 +66,17 @@
     ending: RequestEnding,
 }
 
-/// The ended attempts of a request and how the request ended. The router's limit on attempts bounds
-/// its length.
+/// The ended attempts of a request and how the request ended. The length of a trace is bounded by
+/// the router's limit on attempts.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
     admitted_at: Micros,
-    attempts: Vec<TraceEvent>,
+    attempts: Vec<AttemptTrace>,
     end: Option<TraceEnd>,
 }
 
 impl RequestTrace {
-    /// The trace of a request that was admitted at this time.
+    /// Creates the trace of a request that was admitted at `admitted_at`.
     pub fn new(admitted_at: Micros) -> Self {
         RequestTrace {
             admitted_at,
@@ -85,18 +86,18 @@
     }
 
     /// Records an attempt that has ended.
-    pub fn attempt_ended(&mut self, attempt: TraceEvent) {
+    pub fn attempt_ended(&mut self, attempt: AttemptTrace) {
         self.attempts.push(attempt);
     }
 
-    /// Records how the request ended, though an attempt may still be in flight.
+    /// Records how the request ended. An attempt may still be in flight at that time.
     pub fn end(&mut self, now: Micros, ending: RequestEnding) {
         self.end = Some(TraceEnd { at: now, ending });
     }
 
-    /// Whether the request was served by its first attempt, in the first half of its time: nothing
-    /// worth a log line.
-    pub fn is_smooth(&self, deadline: Micros) -> bool {
+    /// Returns whether the request was served by its first attempt within the first half of the
+    /// time until its deadline. Such a request is not worth a log line.
+    pub fn is_promptly_served(&self, deadline: Micros) -> bool {
         let half_time = self.admitted_at + deadline.saturating_sub(self.admitted_at) / 2;
         let served_in_half_time = self
             .end
@@ -104,13 +105,14 @@
         self.attempts.len() == 1 && served_in_half_time
     }
 
-    /// The whole trace in one line, times in milliseconds since the admission. `wire_id_of` gives
-    /// the id of a server that is still listed; any other is shown by its number.
-    pub fn line<'a>(&self, wire_id_of: impl Fn(ServerId) -> Option<&'a str>) -> String {
+    /// Returns the whole trace as one line, with times in milliseconds since the admission.
+    /// `wire_id_of` returns the wire id of a server that is still listed; any other server is shown
+    /// by its number.
+    pub fn to_log_line<'a>(&self, wire_id_of: impl Fn(ServerId) -> Option<&'a str>) -> String {
         let mut line = String::new();
         if let Some(end) = self.end {
             let after_ms = self.ms_since_admission(end.at);
-            // Writing into a string can't fail, here and below.
+            // Writing to a string can't fail, here and below.
             let _ = write!(line, "{} after {after_ms:.1} ms", end.ending);
         }
         for attempt in &self.attempts {
@@ -122,24 +124,27 @@
     fn write_attempt<'a>(
         &self,
         line: &mut String,
-        attempt: &TraceEvent,
+        attempt: &AttemptTrace,
         wire_id_of: &impl Fn(ServerId) -> Option<&'a str>,
     ) {
-        let name =
+        let display_name =
             |id: ServerId| wire_id_of(id).map_or_else(|| format!("#{id:016x}"), str::to_owned);
         let started_ms = self.ms_since_admission(attempt.started_at);
         let ended_ms = self.ms_since_admission(attempt.ended_at);
-        let server = name(attempt.server);
-        let _ = write!(line, "; {started_ms:.1} to {ended_ms:.1}: {server}");
+        let server = display_name(attempt.server);
+        let _ = write!(
+            line,
+            "; attempt from {started_ms:.1} to {ended_ms:.1} ms at {server}"
+        );
         if let Some(source) = attempt.source.filter(|source| *source != attempt.server) {
-            let _ = write!(line, " from {}", name(source));
+            let _ = write!(line, ", fill source {}", display_name(source));
         }
-        let _ = write!(line, " {:?}", attempt.outcome);
+        let _ = write!(line, ": {:?}", attempt.outcome);
         if attempt.fill_result != FillResult::Unknown {
-            let _ = write!(line, " {:?}", attempt.fill_result);
+            let _ = write!(line, ", {:?}", attempt.fill_result);
         }
         if attempt.fill_ttfb_us > 0 {
-            let _ = write!(line, " ttfb {:.1}", as_ms(attempt.fill_ttfb_us));
+            let _ = write!(line, ", fill TTFB {:.1} ms", as_ms(attempt.fill_ttfb_us));
         }
     }
 
@@ -152,7 +157,8 @@
     duration_us as f64 / 1e3
 }
 
-/// Writes the traces of requests that did not go smoothly: on-call follows a request by its id.
+/// Logs the traces of requests that were not promptly served, so that the operators on call can
+/// follow a request by its id.
 pub(super) struct TraceLog {
     limiter: LogRateLimiter,
 }
@@ -164,26 +170,30 @@
         }
     }
 
-    /// Logs a request that is complete, unless it went smoothly or too many lines were written this
-    /// second.
+    /// Logs the trace of a complete request, unless the request was promptly served or the limit on
+    /// lines in this second is reached.
     pub(super) fn write(
         &mut self,
         now: Micros,
         pending: &PendingRequest,
         servers: &ServerDirectory,
     ) {
-        // Suppressed lines are counted only where they would have been written.
-        if pending.trace.is_smooth(pending.deadline) || !log::log_enabled!(log::Level::Info) {
+        // The checks come first so that only lines that would have been written count as
+        // suppressed.
+        if pending.trace.is_promptly_served(pending.deadline)
+            || !log::log_enabled!(log::Level::Info)
+        {
             return;
         }
-        let Some(suppressed) = self.limiter.take(now) else {
+        let Some(suppressed) = self.limiter.try_acquire(now) else {
             return;
         };
         let request = &pending.request;
         let budget_ms = request.remaining_us / 1000;
-        let line = pending.trace.line(|id| servers.wire_id_of(id));
+        let line = pending.trace.to_log_line(|id| servers.wire_id_of(id));
         log::info!(
-            "request {} {}/{} {} KB, {budget_ms} ms: {line}{suppressed}",
+            "request {} for object {}, part {} ({} KB), due within {budget_ms} ms: \
+             {line}{suppressed}",
             request.id,
             request.object,
             request.part,
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -4,18 +4,18 @@
 use crate::request_table::{AttemptResult, ClientRequest, Content};
 use edge_routing::{FillResult, LoadReport, Micros, Outcome};
 
-/// The names of the protocol.
+/// The names used in the protocol.
 mod wire {
     use super::FillResult;
 
     pub(super) const SERVED: &[u8] = b"200";
     pub(super) const NOT_MODIFIED: &[u8] = b"304";
     pub(super) const MISS: &[u8] = b"404";
-    pub(super) const FULL: &[u8] = b"503";
-    pub(super) const EXPIRED: &[u8] = b"504";
+    pub(super) const OVERLOADED: &[u8] = b"503";
+    pub(super) const DEADLINE_PASSED: &[u8] = b"504";
 
-    /// The status words of a probe's answer from a server that is well.
-    pub(super) const ALIVE: [&[u8]; 3] = [b"alive", b"status", b"200"];
+    /// The statuses with which a healthy server answers a probe.
+    pub(super) const HEALTHY_STATUSES: [&[u8]; 3] = [b"alive", b"status", b"200"];
 
     // The fields of an answer.
     pub(super) const TAG: &str = "etag";
@@ -45,7 +45,7 @@
     pub(super) const LINK_UTILIZATION: &str = "x1";
 }
 
-/// A whole answer. Only its form is checked; unknown words and fields are read as absent.
+/// A complete answer. Only its form has been checked. Unknown words and fields count as absent.
 pub(super) struct ServerAnswer {
     id: Vec<u8>,
     status: Vec<u8>,
@@ -54,8 +54,8 @@
 }
 
 impl ServerAnswer {
-    /// Splits an array into the parts of an answer. Fields and body may be missing, id and status
-    /// may not.
+    /// Splits an array into the parts of an answer. The fields and the body may be missing. An
+    /// array without an id or a status is an error.
     pub(super) fn from_array(array: Vec<Vec<u8>>) -> Result<Self, ProtocolError> {
         let mut items = array.into_iter();
         let (Some(id), Some(status)) = (items.next(), items.next()) else {
@@ -69,59 +69,63 @@
         })
     }
 
-    /// Takes out the id of the stream that it answers; none: no id that this proxy could have given.
+    /// Removes and returns the id of the answered stream. Returns `None` if it is not valid UTF-8,
+    /// because this proxy sends no such id.
     pub(super) fn take_id(&mut self) -> Option<String> {
         String::from_utf8(std::mem::take(&mut self.id)).ok()
     }
 
-    /// When the origin gave out the copy, in Unix microseconds: the end of the millisecond that the
-    /// answer names, so that no copy is taken for older than it is.
-    pub(super) fn made_us(&self) -> Option<u64> {
+    /// Returns the latest time at which the origin can have sent out the copy, in Unix
+    /// microseconds. This is the end of the millisecond in the answer, so that no copy is
+    /// considered older than it is. Returns `None` if the answer does not name the millisecond.
+    pub(super) fn copy_made_by_us(&self) -> Option<u64> {
         let made_ms: u64 = self.field(wire::MADE_MS)?.parse().ok()?;
         Some(made_ms.saturating_add(1).saturating_mul(1_000))
     }
 
-    /// The report of the server's load, if the answer carries one.
+    /// Returns the server's load report, if the answer carries one.
     pub(super) fn load_report(&self) -> Option<LoadReport> {
         let stats = self.field(wire::LOAD)?;
         Some(LoadReport {
-            cpu_utilization: statistic(stats, wire::CPU_UTILIZATION),
-            in_flight: statistic(stats, wire::IN_FLIGHT),
-            hit_ratio: statistic(stats, wire::HIT_RATIO),
-            link_utilization: statistic(stats, wire::LINK_UTILIZATION),
+            cpu_utilization: load_value(stats, wire::CPU_UTILIZATION),
+            in_flight: load_value(stats, wire::IN_FLIGHT),
+            hit_ratio: load_value(stats, wire::HIT_RATIO),
+            link_utilization: load_value(stats, wire::LINK_UTILIZATION),
         })
     }
 
-    /// How a probe with this answer ended.
+    /// Returns the outcome of a probe that got this answer.
     pub(super) fn probe_outcome(&self) -> Outcome {
-        if wire::ALIVE.contains(&self.status.as_slice()) {
+        if wire::HEALTHY_STATUSES.contains(&self.status.as_slice()) {
             Outcome::Ok
         } else {
             Outcome::Error
         }
     }
 
-    /// How an attempt with this answer ended. Without its request, which may be over, no answer can
-    /// confirm the client's copy.
+    /// Converts the answer to the result of its attempt. `request` is `None` if the attempt is no
+    /// longer in flight; the answer then can't confirm the client's copy.
     pub(super) fn into_attempt_result(self, request: Option<&ClientRequest>) -> AttemptResult {
         let fill_result = self.fill_result();
         let fill_ttfb_us = self.fill_ttfb_us();
         let load = self.load_report();
-        // The beginning of that millisecond, which is surely past.
-        let copy_made_us = self.made_us().map(|made_us| made_us.saturating_sub(1_000));
-        let failure = self.failure();
+        // The beginning of the millisecond in the answer, which is certainly in the past.
+        let copy_made_at_us = self
+            .copy_made_by_us()
+            .map(|made_by_us| made_by_us.saturating_sub(1_000));
+        let failure_outcome = self.failure_outcome();
         let content = self.into_content(request);
         AttemptResult {
             outcome: if content.is_some() {
                 Outcome::Ok
             } else {
-                failure
+                failure_outcome
             },
             fill_result,
             fill_ttfb_us,
             load,
             content,
-            copy_made_us,
+            copy_made_at_us,
         }
     }
 
@@ -145,13 +149,14 @@
         (milliseconds.max(0.0) * 1e3) as Micros
     }
 
-    /// The outcome of an answer without content.
-    fn failure(&self) -> Outcome {
+    /// Returns the outcome of an answer without content.
+    fn failure_outcome(&self) -> Outcome {
         match self.status.as_slice() {
             wire::MISS => Outcome::Miss,
-            wire::FULL => Outcome::Rejected,
-            wire::EXPIRED => Outcome::NotSent,
-            // A status that the protocol does not name included: the request may have run.
+            wire::OVERLOADED => Outcome::Rejected,
+            wire::DEADLINE_PASSED => Outcome::NotSent,
+            // The same applies to a status that the protocol does not define: the request may have
+            // run.
             _ => Outcome::Error,
         }
     }
@@ -163,23 +168,25 @@
                 let bytes = self.body;
                 Some(Content::Object { bytes, tag })
             }
-            wire::NOT_MODIFIED if request.is_some_and(|request| self.confirms_copy(request)) => {
-                Some(Content::Unchanged)
+            wire::NOT_MODIFIED
+                if request.is_some_and(|request| self.confirms_client_copy(request)) =>
+            {
+                Some(Content::NotModified)
             }
             _ => None,
         }
     }
 
-    /// Whether the answer names the very copy that the client holds: only then is that copy
-    /// current.
-    fn confirms_copy(&self, request: &ClientRequest) -> bool {
+    /// Returns whether the answer names exactly the copy that the client holds. Only then is the
+    /// client's copy current.
+    fn confirms_client_copy(&self, request: &ClientRequest) -> bool {
         request.client_copy_tag.is_some()
             && request.client_copy_tag.as_deref() == self.field(wire::TAG)
     }
 }
 
-/// The value of a name in a list `name:value;name:value`.
-fn statistic(stats: &str, name: &str) -> Option<f64> {
+/// Returns the value of a name in a list of the form `name:value;name:value`.
+fn load_value(stats: &str, name: &str) -> Option<f64> {
     stats.split(';').find_map(|pair| {
         let (pair_name, value) = pair.split_once(':')?;
         if pair_name == name {
--- a/crates/proxy/src/upstream/cancel.rs
+++ b/crates/proxy/src/upstream/cancel.rs
@@ -1,4 +1,4 @@
-//! Taking attempts back: cancellation of one, and withdrawal of all that concern a server.
+//! Cancels single attempts, and withdraws all attempts that involve a server.
 
 use super::command;
 use super::stream::Stream;
@@ -8,46 +8,48 @@
 use crate::request_table::{AttemptId, RequestTable};
 use edge_routing::{Micros, Outcome, ServerId};
 
-/// An attempt in the output buffer with no byte written, which happens where the server takes
-/// nothing at the moment.
+/// An attempt in the output buffer of which no byte is written. This occurs when the server accepts
+/// no bytes at the moment.
 struct UnwrittenAttempt {
     attempt: AttemptId,
-    /// Whether the output buffer holds nothing else.
-    is_alone: bool,
+    /// Whether the output buffer contains nothing else.
+    is_only_output: bool,
 }
 
 impl UpstreamConnection {
-    /// Takes an attempt out of the queue or the output buffer and reports it cancelled. False if
-    /// something of it is written, or it can't be taken out of the output buffer.
+    /// Removes an attempt from the queue or the output buffer and reports it as cancelled. Returns
+    /// `false` if some of the attempt is written, or if it can't be removed from the output buffer.
     pub fn dequeue(
         &mut self,
         attempt: AttemptId,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
         let position = self.queue.iter().position(|queued| *queued == attempt);
         if let Some(position) = position {
             self.queue.remove(position);
-        } else if self.is_removable(attempt, conn) {
-            self.remove_unwritten(attempt, conn);
+        } else if self.is_removable(attempt, socket) {
+            self.remove_unwritten(attempt, socket);
         } else {
             return false;
         }
-        events.push(UpstreamEvent::ended(attempt, Outcome::Cancelled));
+        events.push(UpstreamEvent::attempt_ended(attempt, Outcome::Cancelled));
         true
     }
 
-    /// Cancels an attempt: takes it out of the queue, or sends the server an `abort` and reports
-    /// the attempt once that has arrived. False if the connection has no space even for the `abort`
-    /// and must be closed. An attempt that is not on the connection is ignored.
+    /// Cancels an attempt. An attempt of which nothing is written is removed and reported at once.
+    /// For any other, the server is sent an `abort`, and the attempt is reported once the `abort`
+    /// has had time to arrive. Returns `false` if the output buffer has no space for the `abort`,
+    /// in which case the connection must be closed. An attempt that is not on the connection is
+    /// ignored.
     pub fn cancel(
         &mut self,
         now: Micros,
         attempt: AttemptId,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
-        if self.dequeue(attempt, conn, events) {
+        if self.dequeue(attempt, socket, events) {
             return true;
         }
         let mut streams = self.streams.iter_mut();
@@ -55,93 +57,98 @@
             return true;
         };
         let abort = command::encode_abort(id);
-        if conn.output.free_space() < abort.len() {
+        if socket.output.free_space() < abort.len() {
             return false;
         }
-        conn.output.push(&abort);
+        socket.output.push(&abort);
         if let Stream::Attempt(sent) = stream {
-            self.liveness.cancelled_unanswered(now, sent.sent_at);
+            self.liveness
+                .record_unanswered_cancellation(now, sent.sent_at);
         }
-        let abort_end = conn.bytes_written + conn.output.len() as u64;
-        *stream = Stream::cancelled(now, attempt, abort_end);
+        let abort_end_offset = socket.bytes_written + socket.output.len() as u64;
+        *stream = Stream::cancelled(now, attempt, abort_end_offset);
         true
     }
 
-    /// When the next cancellation is due to be reported by `flush`. Cancellations whose `abort` is
-    /// not written yet don't count.
-    pub fn next_cancellation_report(&self, limits: &Limits) -> Option<Micros> {
+    /// Returns when `flush` must be called to report the next cancellation. Cancellations whose
+    /// `abort` is not written yet are not considered. Returns `None` if there are no others.
+    pub fn next_cancellation_report_at(&self, limits: &Limits) -> Option<Micros> {
         let earliest = self
             .streams
             .values()
             .filter_map(Stream::abort_written_at)
             .min();
-        earliest.map(|written_at| written_at + limits.cancel_settle_us)
+        earliest.map(|abort_written_at| abort_written_at + limits.cancel_settle_us)
     }
 
-    /// Takes back the attempts of which nothing is written and which would go to this server or be
-    /// filled from it, and reports them as not sent. False if one of them can be kept from being
-    /// written only by closing the connection.
+    /// Removes the attempts of which no byte is written and which would be sent to `server` or
+    /// filled from it, and reports them as not sent. Returns `false` if the connection must be
+    /// closed because that is the only way to keep one of these attempts from being written.
     pub fn drain_server(
         &mut self,
         server: ServerId,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
         request_table: &RequestTable,
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
         let destination = self.server;
-        let concerns_server = |attempt: AttemptId| {
+        let involves_server = |attempt: AttemptId| {
             let fill = request_table
                 .attempt_spec(attempt)
                 .and_then(|(_, spec)| spec.fill);
             destination == server || fill.is_some_and(|fill| fill.source == server)
         };
         self.queue.retain(|attempt| {
-            let withdrawn = concerns_server(*attempt);
+            let withdrawn = involves_server(*attempt);
             if withdrawn {
-                events.push(UpstreamEvent::ended(*attempt, Outcome::NotSent));
+                events.push(UpstreamEvent::attempt_ended(*attempt, Outcome::NotSent));
             }
             !withdrawn
         });
-        let Some(unwritten) = self.unwritten_attempt(conn) else {
+        let Some(unwritten) = self.unwritten_attempt(socket) else {
             return true;
         };
-        if !concerns_server(unwritten.attempt) {
+        if !involves_server(unwritten.attempt) {
             return true;
         }
-        if unwritten.is_alone {
-            self.remove_unwritten(unwritten.attempt, conn);
-            events.push(UpstreamEvent::ended(unwritten.attempt, Outcome::NotSent));
+        if unwritten.is_only_output {
+            self.remove_unwritten(unwritten.attempt, socket);
+            events.push(UpstreamEvent::attempt_ended(
+                unwritten.attempt,
+                Outcome::NotSent,
+            ));
         }
-        unwritten.is_alone
+        unwritten.is_only_output
     }
 
-    /// Whether an attempt can be taken out of the output buffer as if it had never been there.
-    fn is_removable(&self, attempt: AttemptId, conn: &BufferedSocket) -> bool {
-        self.unwritten_attempt(conn)
-            .is_some_and(|unwritten| unwritten.attempt == attempt && unwritten.is_alone)
+    /// Returns whether an attempt can be removed from the output buffer as if it had never been
+    /// added.
+    fn is_removable(&self, attempt: AttemptId, socket: &BufferedSocket) -> bool {
+        self.unwritten_attempt(socket)
+            .is_some_and(|unwritten| unwritten.attempt == attempt && unwritten.is_only_output)
     }
 
-    /// The attempt whose command lies whole at the front of the output buffer. There is one at the
-    /// most, as `flush` hands over the next one only when the buffer is empty.
-    fn unwritten_attempt(&self, conn: &BufferedSocket) -> Option<UnwrittenAttempt> {
-        if !conn.connected || conn.output.is_empty() {
+    /// Returns the attempt whose complete command is at the front of the output buffer, if there is
+    /// one. There is at most one, because `flush` adds an attempt only when the buffer is empty.
+    fn unwritten_attempt(&self, socket: &BufferedSocket) -> Option<UnwrittenAttempt> {
+        if !socket.connected || socket.output.is_empty() {
             return None;
         }
-        let output_end = conn.bytes_written + conn.output.len() as u64;
+        let output_end = socket.bytes_written + socket.output.len() as u64;
         self.streams.values().find_map(|stream| match stream {
-            Stream::Attempt(sent) if sent.command.start == conn.bytes_written => {
+            Stream::Attempt(sent) if sent.command_byte_range.start == socket.bytes_written => {
                 Some(UnwrittenAttempt {
                     attempt: sent.attempt,
-                    is_alone: sent.command.end == output_end,
+                    is_only_output: sent.command_byte_range.end == output_end,
                 })
             }
             _ => None,
         })
     }
 
-    /// Empties the output buffer, which holds this attempt alone, and closes its stream.
-    fn remove_unwritten(&mut self, attempt: AttemptId, conn: &mut BufferedSocket) {
-        conn.output.clear();
+    /// Clears the output buffer, which contains only this attempt, and closes the attempt's stream.
+    fn remove_unwritten(&mut self, attempt: AttemptId, socket: &mut BufferedSocket) {
+        socket.output.clear();
         self.streams.retain(|_, stream| !stream.is_attempt(attempt));
     }
 }
--- a/crates/proxy/src/upstream/command.rs
+++ b/crates/proxy/src/upstream/command.rs
@@ -1,10 +1,10 @@
-//! Encodes the commands that a cache server takes: `fetch`, `abort` and `stats`.
+//! Encodes the commands to cache servers: `fetch`, `abort` and `stats`.
 
 use crate::protocol::resp;
 use crate::request_table::{AttemptSpec, ClientRequest, RequestTable};
 use edge_routing::{Fill, Micros};
 
-/// The names of the protocol.
+/// The names used in the protocol.
 mod wire {
     pub(super) const FETCH: &[u8] = b"fetch";
     pub(super) const ABORT: &[u8] = b"abort";
@@ -29,12 +29,14 @@
     pub(super) const BACKGROUND_REFRESH: &str = "background";
 }
 
-/// Usual length of the fields of a command, to allocate once.
-const USUAL_FIELDS_BYTES: usize = 128;
-/// Bytes that a string takes in a command besides its own, to allocate once.
+/// Initial capacity for the fields of a command. It fits most commands, so that they need a single
+/// allocation.
+const INITIAL_FIELDS_CAPACITY_BYTES: usize = 128;
+/// Upper estimate of the encoding overhead of each string, so that a command needs a single
+/// allocation.
 const STRING_OVERHEAD_BYTES: usize = 16;
 
-/// A list `name=value,name=value`.
+/// A list of fields in the form `name=value,name=value`.
 struct Fields {
     text: String,
 }
@@ -42,7 +44,7 @@
 impl Fields {
     fn new() -> Self {
         Fields {
-            text: String::with_capacity(USUAL_FIELDS_BYTES),
+            text: String::with_capacity(INITIAL_FIELDS_CAPACITY_BYTES),
         }
     }
 
@@ -54,8 +56,8 @@
     }
 }
 
-/// The command that starts an attempt. None if the source of its fill is on the endpoint list no
-/// more.
+/// Encodes the command that starts an attempt. Returns `None` if the fill source is no longer on
+/// the endpoint list.
 pub(super) fn encode_fetch(
     now: Micros,
     request: &ClientRequest,
@@ -66,13 +68,13 @@
     fields.add(wire::CLASS, &request.class);
     fields.add(wire::OBJECT, &request.object);
     fields.add(wire::PART, &request.part.to_string());
-    fields.add(wire::WAIT_MS, &wait_ms(now, spec).to_string());
+    fields.add(wire::WAIT_MS, &answer_timeout_ms(now, spec).to_string());
     if let Some(idempotency_key) = &request.idempotency_key {
         fields.add(wire::IDEMPOTENCY_KEY, idempotency_key);
     }
     if let Some(fill) = &spec.fill {
         if fill.source != spec.server {
-            let source = request_table.address_of(fill.source)?.wire_id;
+            let source = request_table.server_address(fill.source)?.wire_id;
             fields.add(wire::FILL_SOURCE, source);
         }
         add_fill(&mut fields, fill, spec.max_age_us);
@@ -89,18 +91,18 @@
     Some(encode(&items))
 }
 
-/// The command that cancels the request under an id. It has no answer.
+/// Encodes the command that cancels the request with this id. The server does not answer it.
 pub(super) fn encode_abort(id: &str) -> Vec<u8> {
     encode(&[wire::ABORT, id.as_bytes()])
 }
 
-/// The command that probes a server. It is answered under the same id.
+/// Encodes the command that probes a server. The server answers it under the same id.
 pub(super) fn encode_stats(id: &str) -> Vec<u8> {
     encode(&[wire::STATS, id.as_bytes()])
 }
 
-/// How long the proxy will wait for the answer, in milliseconds, at least 1.
-fn wait_ms(now: Micros, spec: &AttemptSpec) -> u64 {
+/// Returns how long the proxy waits for the answer, in milliseconds. The result is at least 1.
+fn answer_timeout_ms(now: Micros, spec: &AttemptSpec) -> u64 {
     let wait_us = spec.deadline.saturating_sub(now);
     (wait_us / 1000).max(1)
 }
@@ -110,8 +112,8 @@
         fields.add(wire::RETENTION_RANK, &fill.retention_rank.to_string());
     }
     if let Some(max_age_us) = max_age_us {
-        // Rounded down, so that no copy from before a purge passes; 0 would mean the fresh time of
-        // the class.
+        // Rounded down, so that no copy from before a purge is accepted. 0 would select the
+        // freshness lifetime of the class.
         let max_age_ms = (max_age_us / 1000).max(1);
         fields.add(wire::MAX_AGE_MS, &max_age_ms.to_string());
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its queue, its open streams, and what an attempt needs to know to choose it.
+//! A connection, its queue and its open streams, and whether the connection can take an attempt.
 
 use super::command;
 use super::stream::Stream;
@@ -13,27 +13,27 @@
 
 /// A connection to a cache server, a parent or the origin.
 ///
-/// Invariant: no two of its queued attempts and awaited streams have one id. Callers keep it by
-/// enqueueing only where `load_if_available` gives a number for the id.
+/// Invariant: all queued attempts and awaited streams have different ids. Callers preserve this by
+/// calling `enqueue` only where `load_if_available` returns a number for the id.
 pub struct UpstreamConnection {
     /// The server at the other end.
     pub server: ServerId,
-    /// Collects the bytes of answers.
-    pub(super) answers: resp::ArrayParser,
-    /// Attempts of which nothing has reached the output buffer, oldest first.
+    /// Parses the bytes of answers.
+    pub(super) answer_parser: resp::ArrayParser,
+    /// Attempts of which no byte has been put into the output buffer, oldest first.
     pub(super) queue: VecDeque<AttemptId>,
-    /// What is open or remembered, by id.
+    /// The open streams and those kept after their end, by id.
     pub(super) streams: HashMap<String, Stream>,
     pub(super) liveness: Liveness,
     probes_sent: u64,
 }
 
 impl UpstreamConnection {
-    /// A connection that was just opened.
+    /// Creates the state of a connection that was just opened.
     pub fn new(server: ServerId, limits: &Limits, now: Micros) -> Self {
         UpstreamConnection {
             server,
-            answers: resp::ArrayParser::new(limits.object_bytes),
+            answer_parser: resp::ArrayParser::new(limits.object_bytes),
             queue: VecDeque::new(),
             streams: HashMap::new(),
             liveness: Liveness::new(limits, now),
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The number of attempts and probes on the connection, if it can take one more attempt under
-    /// this id.
+    /// Returns the number of attempts and probes on the connection. Returns `None` if the
+    /// connection can't take another attempt with this id.
     pub fn load_if_available(
         &self,
         id: &str,
@@ -52,85 +52,88 @@
         let awaited = self.streams.values().filter(|stream| stream.is_awaited());
         let load = awaited.count() + self.queue.len();
         let is_available = !self.liveness.is_unresponsive()
-            && !self.liveness.is_blocked_by_answer(limits)
+            && !self.liveness.is_blocked_by_partial_answer(limits)
             && load < limits.attempts_per_connection
-            && self.is_id_free(id, request_table);
+            && self.is_id_available(id, request_table);
         is_available.then_some(load)
     }
 
-    /// Whether a further attempt under this id can be told apart from all that is on the
-    /// connection. Two clients may use one id: a second attempt under it here would take the answer
-    /// to the first, also where both still wait in the queue.
-    fn is_id_free(&self, id: &str, request_table: &RequestTable) -> bool {
+    /// Returns whether answers to a further attempt with this id could be distinguished from all
+    /// other answers on the connection. Two clients may use the same id: a second attempt with it
+    /// on this connection would receive the answer to the first one, even if both still wait in the
+    /// queue.
+    fn is_id_available(&self, id: &str, request_table: &RequestTable) -> bool {
         let has_id = |attempt: &AttemptId| {
             request_table
                 .attempt_spec(*attempt)
                 .is_some_and(|(request, _)| request.id == id)
         };
         let stream = self.streams.get(id);
-        stream.is_none_or(Stream::admits_further_attempt) && !self.queue.iter().any(has_id)
+        stream.is_none_or(Stream::allows_further_attempt) && !self.queue.iter().any(has_id)
     }
 
-    /// Whether an attempt under this id was cancelled here and is still remembered.
-    pub fn cancelled_recently(&self, id: &str) -> bool {
+    /// Returns whether an attempt with this id was cancelled here and its stream is still kept.
+    pub fn has_recent_cancellation(&self, id: &str) -> bool {
         matches!(self.streams.get(id), Some(Stream::Cancelled { .. }))
     }
 
-    /// Whether nothing is queued and the ends of all streams are reported.
+    /// Returns whether the queue is empty and the ends of all streams are reported.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.streams.values().all(Stream::is_reported)
     }
 
-    /// Queues an attempt. `flush` writes it once the connection is up and takes it whole, so that
-    /// an attempt which is cancelled or withdrawn until then never reaches the server.
+    /// Queues an attempt. `flush` writes the attempt once the connection is established and its
+    /// output buffer is empty. An attempt that is cancelled or withdrawn before that never reaches
+    /// the server.
     pub fn enqueue(&mut self, attempt: AttemptId) {
         self.queue.push_back(attempt);
     }
 
-    /// Puts a probe into the output buffer. False if the connection is not up or has no space for
-    /// it.
-    pub fn probe(&mut self, now: Micros, conn: &mut BufferedSocket) -> bool {
+    /// Puts a probe into the output buffer. Returns `false` if the connection is not established or
+    /// the buffer has too little space.
+    pub fn probe(&mut self, now: Micros, socket: &mut BufferedSocket) -> bool {
         let id = format!("probe-{}", self.probes_sent);
         let command = command::encode_stats(&id);
-        if !conn.connected || conn.output.free_space() < command.len() {
+        if !socket.connected || socket.output.free_space() < command.len() {
             return false;
         }
-        conn.output.push(&command);
+        socket.output.push(&command);
         self.probes_sent += 1;
         self.streams.insert(id, Stream::Probe { sent_at: now });
         true
     }
 
-    /// Forgets streams that were cancelled or answered more than `Limits::stream_memory_us` ago.
-    pub fn forget_old_streams(&mut self, now: Micros, limits: &Limits) {
+    /// Removes streams that were cancelled or answered more than `Limits::stream_memory_us` ago.
+    pub fn remove_expired_streams(&mut self, now: Micros, limits: &Limits) {
         self.streams
-            .retain(|_, stream| !stream.is_forgettable(now, limits.stream_memory_us));
+            .retain(|_, stream| !stream.is_expired(now, limits.stream_memory_us));
     }
 
-    /// Takes out the attempts of which nothing was written yet.
-    pub fn take_queue(&mut self) -> VecDeque<AttemptId> {
+    /// Removes and returns all queued attempts. No byte of them has been written.
+    pub fn take_queued_attempts(&mut self) -> VecDeque<AttemptId> {
         std::mem::take(&mut self.queue)
     }
 
-    /// Ends a connection that is over and reports all that was queued or open on it, the queue
-    /// first and the streams in the order of their ids. `connected` tells whether it ever came up,
-    /// and `bytes_written` how many bytes it wrote.
+    /// Ends a connection that is being closed and reports all attempts and probes that were queued
+    /// or open on it. The queue is reported first, and the streams follow in the order of their
+    /// ids. `connected` says whether the connection was ever established, and `bytes_written` is
+    /// the number of bytes written on it.
     ///
-    /// An attempt that was not written whole can't have run; the others may have. Only a connection
-    /// that never came up shows that its server can't be reached.
+    /// An attempt that was not written completely can't have run, while the others may have run.
+    /// Only a connection that was never established shows that its server can't be reached.
     pub fn close(self, connected: bool, bytes_written: u64, events: &mut Vec<UpstreamEvent>) {
-        let unsent = if connected {
+        let unsent_outcome = if connected {
             Outcome::NotSent
         } else {
             Outcome::ConnectFailed
         };
         for attempt in self.queue {
-            events.push(UpstreamEvent::ended(attempt, unsent));
+            events.push(UpstreamEvent::attempt_ended(attempt, unsent_outcome));
         }
         let mut streams: Vec<(String, Stream)> = self.streams.into_iter().collect();
         streams.sort_by(|(id, _), (other_id, _)| id.cmp(other_id));
         for (_, stream) in streams {
-            events.extend(stream.event_on_close(bytes_written, unsent));
+            events.extend(stream.event_on_close(bytes_written, unsent_outcome));
         }
     }
 }
--- a/crates/proxy/src/upstream/event.rs
+++ b/crates/proxy/src/upstream/event.rs
@@ -1,25 +1,26 @@
-//! What a connection reports to the event loop.
+//! The events that a connection reports to the event loop.
 
 use crate::request_table::{AttemptId, AttemptResult};
 use edge_routing::{LoadReport, Micros, Outcome};
 
-/// What a connection reports. Every attempt that was enqueued ends with exactly one `AttemptEnded`.
+/// An event on a connection. Every enqueued attempt leads to exactly one `AttemptEnded`.
 #[derive(Debug, PartialEq)]
 pub enum UpstreamEvent {
-    /// An attempt ended.
+    /// An attempt ended, with this result.
     AttemptEnded(AttemptId, AttemptResult),
-    /// A probe ended: its outcome, the round trip in microseconds, and the reported load.
+    /// A probe ended, with this outcome, its round-trip time in microseconds, and the load report
+    /// of the server if there is one.
     ProbeEnded(Outcome, Micros, Option<LoadReport>),
 }
 
 impl UpstreamEvent {
-    /// The end of an attempt of which nothing but the outcome is known.
-    pub(super) fn ended(attempt: AttemptId, outcome: Outcome) -> Self {
+    /// Creates the event for the end of an attempt of which only the outcome is known.
+    pub(super) fn attempt_ended(attempt: AttemptId, outcome: Outcome) -> Self {
         UpstreamEvent::AttemptEnded(attempt, outcome.into())
     }
 
-    /// Whether the request may continue with another attempt after this event.
-    pub fn is_not_final(&self) -> bool {
+    /// Returns whether the request may continue with another attempt after this event.
+    pub fn allows_further_attempt(&self) -> bool {
         matches!(self, UpstreamEvent::AttemptEnded(_, result) if result.outcome != Outcome::Ok)
     }
 }
--- a/crates/proxy/src/upstream/read.rs
+++ b/crates/proxy/src/upstream/read.rs
@@ -1,4 +1,4 @@
-//! Reading: takes answers from the input buffer and ends the streams that they belong to.
+//! Reading: parses answers from the input buffer and ends the streams that they belong to.
 
 use super::answer::ServerAnswer;
 use super::stream::{SentAttempt, Stream};
@@ -9,25 +9,25 @@
 use edge_routing::{Micros, Outcome};
 
 impl UpstreamConnection {
-    /// Reads all that is in the input buffer and reports what ended.
+    /// Parses all answers in the input buffer and reports the attempts and probes that ended.
     ///
     /// # Errors
     ///
-    /// Input that is not in the form of the protocol. What comes after it can't be read, so the
+    /// Returns an error if the input is malformed. No input after it can be parsed, so the
     /// connection must be closed. Events from the answers before it are reported nevertheless.
     pub fn read(
         &mut self,
         now: Micros,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
         request_table: &RequestTable,
         events: &mut Vec<UpstreamEvent>,
     ) -> Result<(), ProtocolError> {
-        while !conn.input.is_empty() {
-            match self.read_answer(now, conn) {
+        while !socket.input.is_empty() {
+            match self.read_answer(now, socket) {
                 Ok(None) => {}
                 Ok(Some(answer)) => self.handle_answer(now, answer, request_table, events),
                 Err(error) => {
-                    self.liveness.received_garbled();
+                    self.liveness.record_malformed_input();
                     return Err(error);
                 }
             }
@@ -35,16 +35,17 @@
         Ok(())
     }
 
-    /// Takes bytes of one answer at most; none: it is not whole yet.
+    /// Consumes the bytes of at most one answer. Returns `None` if the answer is not complete yet.
     fn read_answer(
         &mut self,
         now: Micros,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
     ) -> Result<Option<ServerAnswer>, ProtocolError> {
-        let (taken, array) = self.answers.parse(conn.input.readable())?;
-        conn.input.consume(taken);
-        let partial_answer = self.answers.has_partial_input();
-        self.liveness.received(now, array.is_some(), partial_answer);
+        let (taken, array) = self.answer_parser.parse(socket.input.readable())?;
+        socket.input.consume(taken);
+        let partial_answer = self.answer_parser.has_partial_input();
+        self.liveness
+            .record_input(now, array.is_some(), partial_answer);
         array.map(ServerAnswer::from_array).transpose()
     }
 
@@ -59,14 +60,14 @@
             return;
         };
         match self.streams.remove(&id) {
-            Some(Stream::Attempt(sent)) if is_too_old(&answer, &sent, request_table) => {
-                self.reject_old_copy(id, sent, events);
+            Some(Stream::Attempt(sent)) if has_outdated_copy(&answer, &sent, request_table) => {
+                self.handle_outdated_copy(id, sent, events);
             }
             Some(Stream::Attempt(sent)) => {
                 let event = self.end_attempt(now, id, sent.attempt, answer, request_table);
                 events.push(event);
             }
-            // The answer came before the cancellation was over, so this is how the attempt ended.
+            // The answer arrived before the cancellation was reported, so it ends the attempt.
             Some(Stream::Cancelled {
                 unreported: Some(cancellation),
                 ..
@@ -82,34 +83,55 @@
             )),
             Some(Stream::Answered { at }) => {
                 self.streams.insert(id, Stream::Answered { at });
-                log::debug!("a cache server answered a request a second time");
+                log::debug!(
+                    "cache server #{:016x} answered a request more than once; ignoring the answer",
+                    self.server
+                );
             }
             Some(Stream::Cancelled {
                 unreported: None, ..
             })
-            | None => log::debug!("a cache server answered a request that is not open"),
+            | None => log::debug!(
+    "cache server #{:016x} answered request {id}, which is not open; ignoring the answer",
+    self.server
+            ),
         }
     }
 
     /// Handles an answer with a copy that is older than the attempt accepts.
-    fn reject_old_copy(&mut self, id: String, sent: SentAttempt, events: &mut Vec<UpstreamEvent>) {
-        if sent.follows_cancelled {
-            // The answer to the cancelled attempt may have crossed the `abort`: that one is over,
-            // and this one is still open. It happens once, as there is one such answer at the most.
-            log::info!("ignored an answer to an attempt that was cancelled");
+    fn handle_outdated_copy(
+        &mut self,
+        id: String,
+        sent: SentAttempt,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
+        if sent.follows_cancellation {
+            // The server may have sent the answer to the cancelled attempt before it read the
+            // `abort`. In that case the cancelled attempt is over and this one is still open. There
+            // is at most one such answer, so only one is ignored.
+            log::info!(
+                "request {id}: ignoring a copy from cache server #{:016x} that is older than \
+                 accepted; it may answer an attempt that was cancelled",
+                self.server
+            );
             let sent = SentAttempt {
-                follows_cancelled: false,
+                follows_cancellation: false,
                 ..sent
             };
             self.streams.insert(id, Stream::Attempt(sent));
             return;
         }
-        log::warn!("a cache server answered with a copy that is older than the request accepts");
-        events.push(UpstreamEvent::ended(sent.attempt, Outcome::Error));
+        log::warn!(
+            "request {id}: cache server #{:016x} sent a copy older than the maximum age of {} us; \
+             the attempt fails",
+            self.server,
+            sent.max_age_us.unwrap_or_default()
+        );
+        events.push(UpstreamEvent::attempt_ended(sent.attempt, Outcome::Error));
     }
 
-    /// The end of an attempt by its answer. Unless that was served, the id stays occupied, for a
-    /// further attempt of the request may follow.
+    /// Ends an attempt with its answer. Unless the attempt was served, its id stays occupied on the
+    /// connection, because a further attempt of the request may follow.
     fn end_attempt(
         &mut self,
         now: Micros,
@@ -129,11 +151,16 @@
     }
 }
 
-/// Whether an answer brings a copy that is older than the attempt accepts, for instance one from
-/// before a purge. No server may give one, so it is never passed on.
-fn is_too_old(answer: &ServerAnswer, sent: &SentAttempt, request_table: &RequestTable) -> bool {
-    answer.made_us().is_some_and(|made_us| {
-        let made_at = request_table.copy_made_at(made_us);
+/// Returns whether an answer contains a copy that is older than the attempt accepts, for instance a
+/// copy from before a purge. No server is allowed to send such a copy, so it is never passed on to
+/// a client.
+fn has_outdated_copy(
+    answer: &ServerAnswer,
+    sent: &SentAttempt,
+    request_table: &RequestTable,
+) -> bool {
+    answer.copy_made_by_us().is_some_and(|made_by_us| {
+        let made_at = request_table.copy_made_at(made_by_us);
         sent.is_copy_too_old(made_at)
     })
 }
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -1,67 +1,68 @@
-//! The states of a stream, which is what a connection holds open under one id, and their
-//! transitions.
+//! The states of a stream and the transitions between them. A stream is what a connection keeps
+//! under one id: an attempt or a probe.
 
 use super::UpstreamEvent;
 use crate::request_table::AttemptId;
 use edge_routing::{Micros, Outcome};
 use std::ops::Range;
 
-/// What is open on a connection under an id.
+/// The state of an attempt or a probe on a connection.
 pub(super) enum Stream {
-    /// An attempt whose command is written or lies in the output buffer.
+    /// An attempt whose command is written or is in the output buffer.
     Attempt(SentAttempt),
-    /// A cancelled attempt. A further attempt of the request at this server must follow the
-    /// `abort`, so it takes this connection: on another one the server might read it first and have
-    /// two of one id at once.
+    /// A cancelled attempt. A further attempt of the request at this server must use the same
+    /// connection, so that its command follows the `abort`. On another connection the server might
+    /// read the new command first and have two requests with one id at once.
     Cancelled {
-        /// When it was cancelled.
+        /// When the attempt was cancelled.
         at: Micros,
         /// Present until the cancellation is reported.
         unreported: Option<UnreportedCancellation>,
     },
-    /// An attempt that was answered, but not served. A further attempt of the request may follow,
-    /// and a second copy of the answer would be taken for the answer to that, so it takes another
-    /// connection.
+    /// An attempt that got an answer, but was not served. A further attempt of the request may
+    /// follow. It uses another connection, because on this one a repeated answer would be mistaken
+    /// for the answer to the further attempt.
     Answered {
-        /// When the answer came.
+        /// When the answer arrived.
         at: Micros,
     },
-    /// A probe.
+    /// A probe that has not been answered.
     Probe {
-        /// When it was sent.
+        /// When the probe was sent.
         sent_at: Micros,
     },
 }
 
-/// An attempt whose command was handed to the output buffer.
+/// An attempt whose command was put into the output buffer.
 pub(super) struct SentAttempt {
     pub(super) attempt: AttemptId,
-    /// When its command was handed to the output buffer.
+    /// When the command was put into the output buffer.
     pub(super) sent_at: Micros,
-    /// The place of its command among all bytes that the connection writes.
-    pub(super) command: Range<u64>,
-    /// The oldest copy that it accepts.
+    /// Position of the command among all bytes written on the connection.
+    pub(super) command_byte_range: Range<u64>,
+    /// Maximum age of an acceptable copy, in microseconds. `None` means no limit.
     pub(super) max_age_us: Option<Micros>,
-    /// Whether an attempt of the same request was cancelled on this connection before it.
-    pub(super) follows_cancelled: bool,
+    /// Whether an attempt of the same request was cancelled on this connection before.
+    pub(super) follows_cancellation: bool,
 }
 
-/// A cancelled attempt that is not reported as ended yet.
+/// A cancelled attempt that has not been reported as ended yet.
 pub(super) struct UnreportedCancellation {
     attempt: AttemptId,
-    /// Once the connection has written this many bytes, the `abort` is among them.
-    abort_end: u64,
-    /// When the `abort` was first seen to be written.
-    written_at: Option<Micros>,
+    /// Offset of the end of the `abort` command among all bytes written on the connection.
+    abort_end_offset: u64,
+    /// When the `abort` was first found to be written.
+    abort_written_at: Option<Micros>,
 }
 
 impl Stream {
-    /// A stream whose `abort` command ends at `abort_end` of the bytes that the connection writes.
-    pub(super) fn cancelled(now: Micros, attempt: AttemptId, abort_end: u64) -> Self {
+    /// Creates the stream of a cancelled attempt. `abort_end_offset` is the offset of the end of
+    /// the `abort` command among all bytes written on the connection.
+    pub(super) fn cancelled(now: Micros, attempt: AttemptId, abort_end_offset: u64) -> Self {
         let unreported = UnreportedCancellation {
             attempt,
-            abort_end,
-            written_at: None,
+            abort_end_offset,
+            abort_written_at: None,
         };
         Stream::Cancelled {
             at: now,
@@ -69,17 +70,17 @@
         }
     }
 
-    /// Whether it is this attempt, neither answered nor cancelled.
+    /// Returns whether the stream is this attempt, neither answered nor cancelled.
     pub(super) fn is_attempt(&self, attempt: AttemptId) -> bool {
         matches!(self, Stream::Attempt(sent) if sent.attempt == attempt)
     }
 
-    /// Whether somebody waits for its answer.
+    /// Returns whether the stream is an attempt or probe whose answer is still awaited.
     pub(super) fn is_awaited(&self) -> bool {
         matches!(self, Stream::Attempt(_) | Stream::Probe { .. })
     }
 
-    /// Whether its end has been reported, so that the connection owes nothing for it.
+    /// Returns whether the end of the stream has been reported.
     pub(super) fn is_reported(&self) -> bool {
         match self {
             Stream::Cancelled { unreported, .. } => unreported.is_none(),
@@ -88,63 +89,70 @@
         }
     }
 
-    /// Whether a further attempt under the same id may take this connection.
-    pub(super) fn admits_further_attempt(&self) -> bool {
+    /// Returns whether a further attempt with the same id may use this connection.
+    pub(super) fn allows_further_attempt(&self) -> bool {
         match self {
             Stream::Cancelled { unreported, .. } => unreported.is_none(),
             Stream::Attempt(_) | Stream::Answered { .. } | Stream::Probe { .. } => false,
         }
     }
 
-    /// Whether nothing refers to it any more: it was reported and its memory has run out.
-    pub(super) fn is_forgettable(&self, now: Micros, memory_us: Micros) -> bool {
+    /// Returns whether the stream can be removed, because its end was reported and its retention
+    /// period is over.
+    pub(super) fn is_expired(&self, now: Micros, retention_us: Micros) -> bool {
         match self {
             Stream::Cancelled { at, .. } | Stream::Answered { at } => {
-                self.is_reported() && at + memory_us < now
+                self.is_reported() && at + retention_us < now
             }
             Stream::Attempt(_) | Stream::Probe { .. } => false,
         }
     }
 
-    /// When the `abort` of a cancellation that is still unreported was written.
+    /// Returns when the `abort` of an unreported cancellation was written. Returns `None` for any
+    /// other stream, and while the `abort` is not written yet.
     pub(super) fn abort_written_at(&self) -> Option<Micros> {
         match self {
-            Stream::Cancelled { unreported, .. } => unreported.as_ref()?.written_at,
+            Stream::Cancelled { unreported, .. } => unreported.as_ref()?.abort_written_at,
             Stream::Attempt(_) | Stream::Answered { .. } | Stream::Probe { .. } => None,
         }
     }
 
-    /// Takes the attempt out of a cancellation that has settled, which makes it a reported one.
-    pub(super) fn take_settled_cancellation(
+    /// Returns the attempt of an unreported cancellation whose report is due, and marks it as
+    /// reported. Returns `None` for any other stream.
+    pub(super) fn take_due_cancellation(
         &mut self,
         now: Micros,
         bytes_written: u64,
-        settle_us: Micros,
+        report_delay_us: Micros,
     ) -> Option<AttemptId> {
         let Stream::Cancelled { unreported, .. } = self else {
             return None;
         };
         let cancellation = unreported.as_mut()?;
-        cancellation.note_written(now, bytes_written);
-        let settled = unreported.take_if(|cancellation| cancellation.is_settled(now, settle_us))?;
-        Some(settled.attempt)
+        cancellation.record_output_progress(now, bytes_written);
+        let due = unreported.take_if(|cancellation| cancellation.is_due(now, report_delay_us))?;
+        Some(due.attempt)
     }
 
-    /// What to report when the connection closes after `bytes_written`. An attempt that was not
-    /// written whole can't have run and ends with `unsent`; one that was may have run.
+    /// Returns the event to report when the connection closes after `bytes_written`. An attempt
+    /// that was not written completely can't have run and ends with `unsent_outcome`. An attempt
+    /// that was written completely may have run. Returns `None` if the end of the stream was
+    /// already reported.
     pub(super) fn event_on_close(
         self,
         bytes_written: u64,
-        unsent: Outcome,
+        unsent_outcome: Outcome,
     ) -> Option<UpstreamEvent> {
         match self {
-            Stream::Attempt(sent) if sent.command.end > bytes_written => {
-                Some(UpstreamEvent::ended(sent.attempt, unsent))
+            Stream::Attempt(sent) if sent.command_byte_range.end > bytes_written => {
+                Some(UpstreamEvent::attempt_ended(sent.attempt, unsent_outcome))
+            }
+            Stream::Attempt(sent) => {
+                Some(UpstreamEvent::attempt_ended(sent.attempt, Outcome::Reset))
             }
-            Stream::Attempt(sent) => Some(UpstreamEvent::ended(sent.attempt, Outcome::Reset)),
             Stream::Cancelled { unreported, .. } => {
                 let cancellation = unreported?;
-                Some(UpstreamEvent::ended(
+                Some(UpstreamEvent::attempt_ended(
                     cancellation.attempt,
                     Outcome::Cancelled,
                 ))
@@ -156,8 +164,8 @@
 }
 
 impl SentAttempt {
-    /// Whether a copy that was made at a time, on the scale of the loop's clock, is older than the
-    /// attempt accepts.
+    /// Returns whether a copy made at `made_at`, on the scale of the loop's clock, is older than
+    /// the attempt accepts.
     pub(super) fn is_copy_too_old(&self, made_at: Micros) -> bool {
         self.max_age_us
             .is_some_and(|max_age_us| made_at.saturating_add(max_age_us) < self.sent_at)
@@ -165,21 +173,23 @@
 }
 
 impl UnreportedCancellation {
-    /// The cancelled attempt.
+    /// Returns the id of the cancelled attempt.
     pub(super) fn attempt(&self) -> AttemptId {
         self.attempt
     }
 
-    /// Notes the time if the `abort` is written by now.
-    fn note_written(&mut self, now: Micros, bytes_written: u64) {
-        if self.abort_end <= bytes_written {
-            self.written_at.get_or_insert(now);
+    /// Records `now` as the time at which the `abort` was written, if it is written and no earlier
+    /// time is recorded.
+    fn record_output_progress(&mut self, now: Micros, bytes_written: u64) {
+        if self.abort_end_offset <= bytes_written {
+            self.abort_written_at.get_or_insert(now);
         }
     }
 
-    /// Whether the written `abort` has had its time to arrive.
-    fn is_settled(&self, now: Micros, settle_us: Micros) -> bool {
-        self.written_at
-            .is_some_and(|written_at| written_at + settle_us <= now)
+    /// Returns whether the `abort` was written at least `report_delay_us` ago, so that it has had
+    /// time to arrive.
+    fn is_due(&self, now: Micros, report_delay_us: Micros) -> bool {
+        self.abort_written_at
+            .is_some_and(|abort_written_at| abort_written_at + report_delay_us <= now)
     }
 }
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -1,5 +1,5 @@
-//! Writing: moves queued attempts into the output buffer and reports cancellations that have
-//! settled.
+//! Writing: moves queued attempts into the output buffer and reports cancellations once their
+//! report delay is over.
 
 use super::command;
 use super::stream::{SentAttempt, Stream};
@@ -9,7 +9,7 @@
 use crate::request_table::{AttemptId, RequestTable};
 use edge_routing::{Micros, Outcome};
 
-/// What the start of an attempt depends on.
+/// The inputs to a decision on whether an attempt may be started.
 struct WriteContext<'a> {
     now: Micros,
     request_table: &'a RequestTable,
@@ -17,13 +17,14 @@
 }
 
 impl UpstreamConnection {
-    /// Writes what the socket takes, starts queued attempts and reports settled cancellations.
-    /// Attempts that must not begin any more are reported as not sent. False if the connection is
-    /// broken, takes nothing more or can't be read any more, and must be closed.
+    /// Writes what the socket accepts, starts queued attempts and reports cancellations that are
+    /// due. Attempts that must not start any more are reported as not sent. Returns `false` if the
+    /// connection must be closed because it is broken, accepts no further bytes or can't be read
+    /// any further.
     pub fn flush(
         &mut self,
         now: Micros,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
         request_table: &RequestTable,
         limits: &Limits,
         events: &mut Vec<UpstreamEvent>,
@@ -33,59 +34,62 @@
             request_table,
             limits,
         };
-        if conn.write() == IoProgress::Broken {
+        if socket.write() == IoProgress::Broken {
             return false;
         }
-        if self.start_queued(&context, conn, events) == IoProgress::Broken {
+        if self.start_queued(&context, socket, events) == IoProgress::Broken {
             return false;
         }
-        self.report_settled_cancellations(&context, conn.bytes_written, events);
-        // What follows an answer that stopped short would be taken for its rest, and after one that
-        // never ends nothing follows: the connection is of no further use, also to all else that is
-        // open on it.
-        let stopped_short = self
+        self.report_due_cancellations(&context, socket.bytes_written, events);
+        // After a partial answer that stopped, the next bytes would be parsed as its remainder.
+        // After an answer that never ends, no other answer arrives. In both cases the connection is
+        // useless for everything else that is open on it, too.
+        let partial_answer_expired = self
             .partial_answer_deadline(limits)
             .is_some_and(|deadline| deadline <= now);
-        if stopped_short {
+        if partial_answer_expired {
             return false;
         }
-        // A server that takes no bytes would keep attempts cancelled here from ever being reported.
-        self.liveness.note_output(now, conn);
+        // Without this check, attempts cancelled on this connection would never be reported if the
+        // server accepts no bytes.
+        self.liveness.record_output_state(now, socket);
         !self.liveness.is_write_stalled(now, limits)
     }
 
-    /// Starts queued attempts while the socket takes them. One at a time: what is in the queue can
-    /// still be cancelled or withdrawn, what is in the output buffer has begun.
+    /// Starts queued attempts one at a time, as long as the socket accepts each completely. An
+    /// attempt in the queue can still be cancelled or withdrawn, while an attempt in the output
+    /// buffer has started.
     fn start_queued(
         &mut self,
         context: &WriteContext,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
         events: &mut Vec<UpstreamEvent>,
     ) -> IoProgress {
-        while conn.connected && conn.output.is_empty() {
+        while socket.connected && socket.output.is_empty() {
             let Some(attempt) = self.queue.pop_front() else {
                 break;
             };
-            if !self.start(context, attempt, conn) {
-                events.push(UpstreamEvent::ended(attempt, Outcome::NotSent));
+            if !self.start(context, attempt, socket) {
+                events.push(UpstreamEvent::attempt_ended(attempt, Outcome::NotSent));
             }
-            if conn.write() == IoProgress::Broken {
+            if socket.write() == IoProgress::Broken {
                 return IoProgress::Broken;
             }
         }
         IoProgress::Advanced
     }
 
-    /// Puts an attempt's command into the empty output buffer and opens its stream. False if the
-    /// attempt is over, must not begin so late, can't be encoded or is larger than the buffer.
+    /// Puts an attempt's command into the empty output buffer and opens its stream. Returns `false`
+    /// if the attempt has ended, it is too late to start it, it can't be encoded, or its command is
+    /// larger than the buffer.
     fn start(
         &mut self,
         context: &WriteContext,
         attempt: AttemptId,
-        conn: &mut BufferedSocket,
+        socket: &mut BufferedSocket,
     ) -> bool {
-        let clear = context.request_table.clear_to_send(context.now, attempt);
-        let Some((request, spec)) = clear else {
+        let sendable = context.request_table.sendable_attempt(context.now, attempt);
+        let Some((request, spec)) = sendable else {
             return false;
         };
         let command = command::encode_fetch(context.now, request, spec, context.request_table);
@@ -95,32 +99,35 @@
         if command.len() > context.limits.output_buffer_bytes {
             return false;
         }
-        let start = conn.bytes_written;
-        conn.output.push(&command);
+        let start = socket.bytes_written;
+        socket.output.push(&command);
         let sent = SentAttempt {
             attempt,
             sent_at: context.now,
-            command: start..start + command.len() as u64,
+            command_byte_range: start..start + command.len() as u64,
             max_age_us: spec.max_age_us,
-            follows_cancelled: self.cancelled_recently(&request.id),
+            follows_cancellation: self.has_recent_cancellation(&request.id),
         };
         self.streams
             .insert(request.id.clone(), Stream::Attempt(sent));
         true
     }
 
-    /// Reports cancellations whose `abort` was written `Limits::cancel_settle_us` ago. It needs
-    /// that time to arrive: a further attempt at a nearer server must not overtake it.
-    fn report_settled_cancellations(
+    /// Reports cancellations whose `abort` was written at least `Limits::cancel_settle_us` ago. The
+    /// `abort` needs that time to arrive: a further attempt at a nearer server must not overtake
+    /// it.
+    fn report_due_cancellations(
         &mut self,
         context: &WriteContext,
         bytes_written: u64,
         events: &mut Vec<UpstreamEvent>,
     ) {
-        let settle_us = context.limits.cancel_settle_us;
+        let report_delay_us = context.limits.cancel_settle_us;
         for stream in self.streams.values_mut() {
-            let settled = stream.take_settled_cancellation(context.now, bytes_written, settle_us);
-            events.extend(settled.map(|attempt| UpstreamEvent::ended(attempt, Outcome::Cancelled)));
+            let due = stream.take_due_cancellation(context.now, bytes_written, report_delay_us);
+            events.extend(
+                due.map(|attempt| UpstreamEvent::attempt_ended(attempt, Outcome::Cancelled)),
+            );
         }
     }
 }
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -115,8 +115,8 @@
 /// An object was purged at a time; the table hears of it 20 us after `NOW`.
 fn purge_object(request_table: &mut RequestTable, object: &str, at: u64) {
     // A purge of another object that is heard of as it is made: the clock is not behind the stamps.
-    request_table.purged(NOW + 20, Some("other".to_owned()), 0, NOW + 20);
-    request_table.purged(NOW + 20, Some(object.to_owned()), 0, at);
+    request_table.handle_purge_event(NOW + 20, Some("other".to_owned()), 0, NOW + 20);
+    request_table.handle_purge_event(NOW + 20, Some(object.to_owned()), 0, at);
 }
 
 fn started_attempt(commands: &[Command]) -> Option<AttemptId> {
@@ -387,7 +387,7 @@
         .take_commands()
         .contains(&Command::DrainServer(server_id("b"))));
     assert_eq!(
-        request_table.address_of(server_id("b")),
+        request_table.server_address(server_id("b")),
         None,
         "new servers come under new ids all day long"
     );
@@ -400,10 +400,10 @@
     for mode in [EndpointListMode::Delta, EndpointListMode::Snapshot] {
         request_table.update_endpoints(NOW, mode, only_draining.clone());
     }
-    assert!(!request_table.is_ready());
-    assert!(!request_table.accepts_work(server_id("a")));
+    assert!(!request_table.has_ready_server());
+    assert!(!request_table.is_server_ready(server_id("a")));
     assert!(
-        request_table.address_of(server_id("a")).is_some(),
+        request_table.server_address(server_id("a")).is_some(),
         "it finishes what it has"
     );
 }
@@ -457,7 +457,7 @@
 fn before_anything_tells_of_the_time_a_purge_counts_from_when_it_is_heard_of() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
-    request_table.purged(NOW + 20, Some("00000000000000a1".to_owned()), 0, NOW + 13);
+    request_table.handle_purge_event(NOW + 20, Some("00000000000000a1".to_owned()), 0, NOW + 13);
     let (_, spec) = request_table.attempt_spec(attempt).unwrap();
     assert_eq!(
         spec.max_age_us,
--- a/crates/proxy/tests/support/upstream.rs
+++ b/crates/proxy/tests/support/upstream.rs
@@ -132,7 +132,7 @@
     /// The request table learns of a purge of one object.
     pub fn purge_object(&mut self, object: &str, purged_at: Micros) {
         self.request_table
-            .purged(self.now, Some(object.into()), 0, purged_at);
+            .handle_purge_event(self.now, Some(object.into()), 0, purged_at);
     }
 
     /// Enqueues the attempt that the router wants sent, and flushes.
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -104,7 +104,9 @@
     assert_eq!(fixture.take_ends(), []);
     let report_at = NOW + fixture.limits.cancel_settle_us;
     assert_eq!(
-        fixture.connection.next_cancellation_report(&fixture.limits),
+        fixture
+            .connection
+            .next_cancellation_report_at(&fixture.limits),
         Some(report_at)
     );
     assert_eq!(fixture.load_if_available("01"), None);
@@ -118,13 +120,13 @@
     let mut fixture = Fixture::connected();
     let attempt = fixture.send("01");
     fixture.cancel_and_settle(attempt);
-    assert!(fixture.connection.cancelled_recently("01"));
+    assert!(fixture.connection.has_recent_cancellation("01"));
     assert!(fixture.load_if_available("01").is_some());
     let forgotten_at = NOW + fixture.limits.stream_memory_us + 1;
     fixture
         .connection
-        .forget_old_streams(forgotten_at, &fixture.limits);
-    assert!(!fixture.connection.cancelled_recently("01"));
+        .remove_expired_streams(forgotten_at, &fixture.limits);
+    assert!(!fixture.connection.has_recent_cancellation("01"));
 }
 
 #[test]
@@ -246,8 +248,8 @@
     fixture.receive(PARTIAL_ANSWER);
     let deadline = NOW + fixture.limits.partial_answer_timeout_us;
     let connection = &fixture.connection;
-    assert!(connection.is_readable(deadline - 1, &fixture.limits));
-    assert!(!connection.is_readable(deadline, &fixture.limits));
+    assert!(connection.can_parse_further_input(deadline - 1, &fixture.limits));
+    assert!(!connection.can_parse_further_input(deadline, &fixture.limits));
 }
 
 #[test]
@@ -337,12 +339,18 @@
         fixture.now += 400_000;
         let purged_at = fixture.now - 30_000;
         // A purge of another object that is heard of as it is made: the clock is not behind the stamps.
-        fixture
-            .request_table
-            .purged(fixture.now, Some("other".to_owned()), 0, fixture.now);
-        fixture
-            .request_table
-            .purged(fixture.now, object.map(str::to_owned), group, purged_at);
+        fixture.request_table.handle_purge_event(
+            fixture.now,
+            Some("other".to_owned()),
+            0,
+            fixture.now,
+        );
+        fixture.request_table.handle_purge_event(
+            fixture.now,
+            object.map(str::to_owned),
+            group,
+            purged_at,
+        );
         fixture.socket.connected = true;
         fixture.flush();
         let text = fixture.received_by_server("fetch", 1);
