--- a/crates/proxy/src/request_table/attempt.rs
+++ b/crates/proxy/src/request_table/attempt.rs
@@ -21,7 +21,8 @@
     /// How the server fills a miss. `None` means that it may serve only what it has cached.
     pub fill: Option<Fill>,
     /// Maximum age of an acceptable copy, in microseconds. This is the router's bound, or a lower
-    /// one set by a purge that arrived before any byte of the attempt was written.
+    /// one set by a purge that arrived before any byte of the attempt was written. With `None`, the
+    /// freshness lifetime of the class applies.
     pub max_age_us: Option<Micros>,
     /// When the attempt is cancelled if it has not ended before.
     pub deadline: Micros,
--- a/crates/proxy/src/request_table/trace.rs
+++ b/crates/proxy/src/request_table/trace.rs
@@ -11,8 +11,8 @@
 pub struct AttemptTrace {
     /// The cache server that the attempt was sent to.
     pub server: ServerId,
-    /// The fill source. If it is `server` itself, the attempt allowed no fill. `None` means that
-    /// the server could serve only what it had cached.
+    /// The fill source. If it is `server` itself, there was no fill. `None` means that the server
+    /// could serve only what it had cached.
     pub source: Option<ServerId>,
     /// When the attempt was started.
     pub started_at: Micros,
@@ -144,16 +144,16 @@
             let _ = write!(line, ", {:?}", attempt.fill_result);
         }
         if attempt.fill_ttfb_us > 0 {
-            let _ = write!(line, ", fill TTFB {:.1} ms", as_ms(attempt.fill_ttfb_us));
+            let _ = write!(line, ", fill TTFB {:.1} ms", us_to_ms(attempt.fill_ttfb_us));
         }
     }
 
     fn ms_since_admission(&self, at: Micros) -> f64 {
-        as_ms(at.saturating_sub(self.admitted_at))
+        us_to_ms(at.saturating_sub(self.admitted_at))
     }
 }
 
-fn as_ms(duration_us: Micros) -> f64 {
+fn us_to_ms(duration_us: Micros) -> f64 {
     duration_us as f64 / 1e3
 }
 
--- a/crates/proxy/src/upstream/command.rs
+++ b/crates/proxy/src/upstream/command.rs
@@ -29,11 +29,11 @@
     pub(super) const BACKGROUND_REFRESH: &str = "background";
 }
 
-/// Initial capacity for the fields of a command. It fits most commands, so that they need a single
-/// allocation.
+/// Initial capacity for the fields of a command. It is their usual length, so that one allocation is
+/// usually enough.
 const INITIAL_FIELDS_CAPACITY_BYTES: usize = 128;
-/// Upper estimate of the encoding overhead of each string, so that a command needs a single
-/// allocation.
+/// Space reserved in a command for the encoding overhead of each string, so that one allocation is
+/// enough.
 const STRING_OVERHEAD_BYTES: usize = 16;
 
 /// A list of fields in the form `name=value,name=value`.
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -40,7 +40,7 @@
     pub(super) sent_at: Micros,
     /// Position of the command among all bytes written on the connection.
     pub(super) command_byte_range: Range<u64>,
-    /// Maximum age of an acceptable copy, in microseconds. `None` means no limit.
+    /// Maximum age of an acceptable copy, in microseconds. With `None`, the age is not checked.
     pub(super) max_age_us: Option<Micros>,
     /// Whether an attempt of the same request was cancelled on this connection before.
     pub(super) follows_cancellation: bool,
--- a/crates/proxy/src/upstream/timeouts.rs
+++ b/crates/proxy/src/upstream/timeouts.rs
@@ -24,7 +24,7 @@
     input_malformed: bool,
 }
 
-/// The number of bytes written so far, and since when the socket has accepted no further byte.
+/// Since when the socket has accepted no byte, and how many bytes were written until then.
 #[derive(Clone, Copy)]
 struct WriteWait {
     bytes_written: u64,
