--- a/crates/routing/src/estimate/average.rs
+++ b/crates/routing/src/estimate/average.rs
@@ -1,90 +1,93 @@
-//! Estimates that follow a stream of samples: averages and a quantile.
+//! Estimates that are updated with each sample of a stream: two kinds of averages and a quantile.
 
 /// An exponential moving average.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MovingAverage {
     value: f64,
-    step: f64,
+    sample_weight: f64,
 }
 
 impl MovingAverage {
-    /// Starts at `initial`; each sample has the weight `step`, from 0 to 1.
-    pub(crate) fn new(initial: f64, step: f64) -> Self {
+    /// Creates an average that starts at `initial`. Each sample has the weight `sample_weight`,
+    /// from 0 to 1.
+    pub(crate) fn new(initial: f64, sample_weight: f64) -> Self {
         MovingAverage {
             value: initial,
-            step,
+            sample_weight,
         }
     }
 
-    /// Takes a sample in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, sample: f64) {
-        self.value += self.step * (sample - self.value);
+        self.value += self.sample_weight * (sample - self.value);
     }
 
-    /// The average.
+    /// Returns the average.
     pub(crate) fn value(&self) -> f64 {
         self.value
     }
 }
 
-/// A mean that weighs its first samples equally and later ones by a fixed step: it forgets its
-/// initial value with the first sample.
+/// A mean that weights its first samples equally and later samples by a fixed weight. The first
+/// sample replaces the initial value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LearnedMean {
     value: f64,
-    samples: f64,
-    least_step: f64,
+    sample_count: f64,
+    min_sample_weight: f64,
 }
 
 impl LearnedMean {
-    /// Holds `initial` until the first sample; no sample weighs less than `least_step`, from 0 to
-    /// 1.
-    pub(crate) fn new(initial: f64, least_step: f64) -> Self {
+    /// Creates a mean that is `initial` until the first sample. Each sample has at least the weight
+    /// `min_sample_weight`, from 0 to 1.
+    pub(crate) fn new(initial: f64, min_sample_weight: f64) -> Self {
         LearnedMean {
             value: initial,
-            samples: 0.0,
-            least_step,
+            sample_count: 0.0,
+            min_sample_weight,
         }
     }
 
-    /// Takes a sample in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, sample: f64) {
-        self.samples += 1.0;
-        self.value += (sample - self.value) * self.least_step.max(1.0 / self.samples);
+        self.sample_count += 1.0;
+        self.value += (sample - self.value) * self.min_sample_weight.max(1.0 / self.sample_count);
     }
 
-    /// The mean.
+    /// Returns the mean.
     pub(crate) fn value(&self) -> f64 {
         self.value
     }
 }
 
-/// An estimate of a quantile of positive samples: it grows with each sample above it and shrinks
-/// with each one below, at rates that balance at the wanted quantile.
+/// An estimate of a quantile of positive samples. The estimate grows with each sample above it and
+/// shrinks with each sample below it. The two rates balance at the wanted quantile.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuantileEstimate {
     value: f64,
-    step: f64,
+    max_relative_step: f64,
     share_above: f64,
 }
 
 impl QuantileEstimate {
-    /// Starts at `initial`, moves by the factor `step` at most, and settles where the share
-    /// `share_above` of the samples, from 0 to 1, is above it.
-    pub(crate) fn new(initial: f64, step: f64, share_above: f64) -> Self {
+    /// Creates an estimate that starts at `initial`. A sample changes the estimate by at most
+    /// `max_relative_step` times its value. The estimate settles where `share_above` of the
+    /// samples, a share from 0 to 1, are above it.
+    pub(crate) fn new(initial: f64, max_relative_step: f64, share_above: f64) -> Self {
         QuantileEstimate {
             value: initial,
-            step,
+            max_relative_step,
             share_above,
         }
     }
 
-    /// Takes in whether a sample was above the estimate.
+    /// Adds a sample, given whether it was above the estimate.
     pub(crate) fn add(&mut self, above: bool) {
-        self.value *= 1.0 + self.step * (f64::from(u8::from(above)) - self.share_above);
+        self.value *=
+            1.0 + self.max_relative_step * (f64::from(u8::from(above)) - self.share_above);
     }
 
-    /// The estimate.
+    /// Returns the estimate.
     pub(crate) fn value(&self) -> f64 {
         self.value
     }
--- a/crates/routing/src/estimate/hash.rs
+++ b/crates/routing/src/estimate/hash.rs
@@ -1,62 +1,65 @@
-//! Hashes that all routers share, and the pseudo-random numbers derived from a seed.
+//! Hash functions that give the same results in all routers, and pseudo-random numbers derived from
+//! a seed.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// Step of a Weyl sequence: 2^64 divided by the golden ratio.
-const GOLDEN_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The increment of a Weyl sequence: 2^64 divided by the golden ratio.
+const GOLDEN_RATIO_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Spreads an integer evenly over all 64 bits (the finalizer of SplitMix64).
+/// Spreads an integer evenly over all 64 bits with the finalizer of SplitMix64.
 pub(crate) fn finalize(mut value: u64) -> u64 {
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// Hash of a text.
+/// Returns the hash of a string.
 pub(crate) fn text(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
     finalize(hasher.finish())
 }
 
-/// Hash of the part of an object, given the object's hash.
-pub(crate) fn part(object: u64, part: u64) -> u64 {
-    finalize(object.wrapping_add(part.wrapping_mul(GOLDEN_STEP)))
+/// Returns the hash of a part of an object, given the hash of the object and the number of the
+/// part.
+pub(crate) fn part(object_hash: u64, part: u64) -> u64 {
+    finalize(object_hash.wrapping_add(part.wrapping_mul(GOLDEN_RATIO_INCREMENT)))
 }
 
-/// Hash of an integer; unlike that of `finalize` alone, the hash of 0 is not 0.
+/// Returns the hash of an integer. Unlike [`finalize`], it does not map 0 to 0.
 pub(crate) fn integer(value: u64) -> u64 {
-    finalize(value.wrapping_add(GOLDEN_STEP))
+    finalize(value.wrapping_add(GOLDEN_RATIO_INCREMENT))
 }
 
-/// A number from 0 to 1 that depends on the seed and the key alone.
-pub(crate) fn fraction(seed: u64, key: u64) -> f64 {
+/// Returns a pseudo-random number, uniformly distributed from 0 to 1. It depends only on the seed
+/// and the key.
+pub(crate) fn uniform_fraction(seed: u64, key: u64) -> f64 {
     finalize(seed ^ finalize(key)) as f64 / u64::MAX as f64
 }
 
-/// A stream of pseudo-random numbers; equal seeds give equal streams.
+/// A stream of pseudo-random numbers. Equal seeds give equal streams.
 pub(crate) struct RandomStream {
     state: u64,
 }
 
 impl RandomStream {
-    /// Keeps the stream apart from other uses of the same seed.
-    const SALT: u64 = 0x5bd1_e995;
+    /// Makes the stream independent of other uses of the same seed.
+    const SEED_SALT: u64 = 0x5bd1_e995;
 
-    /// The stream that belongs to a seed.
+    /// Creates the stream of a seed.
     pub(crate) fn new(seed: u64) -> Self {
         RandomStream {
-            state: finalize(seed ^ Self::SALT),
+            state: finalize(seed ^ Self::SEED_SALT),
         }
     }
 
-    /// Moves on to the next number.
+    /// Advances to the next number.
     pub(crate) fn advance(&mut self) {
         self.state = integer(self.state);
     }
 
-    /// An index below `length`, which must not be 0, from the present number.
+    /// Returns an index below `length`, derived from the current number. `length` must not be 0.
     pub(crate) fn index(&self, length: usize) -> usize {
         (self.state % length as u64) as usize
     }
--- a/crates/routing/src/estimate/load.rs
+++ b/crates/routing/src/estimate/load.rs
@@ -1,48 +1,51 @@
-//! The load that a fleet of like senders puts on something, as one of them can guess it.
+//! An estimate of the load that several similar senders put on a shared resource.
 
 use super::MovingAverage;
 
-/// What one sender has in flight, now and on average over time.
+/// The load that one sender has in flight, and an estimate of the load of all senders together.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FleetLoad {
+pub(crate) struct SharedLoadEstimate {
     own: f64,
-    mean: MovingAverage,
-    others: f64,
+    own_average: MovingAverage,
+    other_senders: f64,
 }
 
-impl FleetLoad {
-    /// Nothing in flight from this sender, and `others` like it. Each sample has the weight `step`,
-    /// from 0 to 1, in the average over time.
-    pub(crate) fn new(others: f64, step: f64) -> Self {
-        FleetLoad {
+impl SharedLoadEstimate {
+    /// Creates an estimate for a sender that has nothing in flight and shares the resource with
+    /// `other_senders` similar senders. Each sample has the weight `sample_weight`, from 0 to 1, in
+    /// the average over time.
+    pub(crate) fn new(other_senders: f64, sample_weight: f64) -> Self {
+        SharedLoadEstimate {
             own: 0.0,
-            mean: MovingAverage::new(0.0, step),
-            others,
+            own_average: MovingAverage::new(0.0, sample_weight),
+            other_senders,
         }
     }
 
-    /// What this sender has in flight.
+    /// Returns the load that this sender has in flight.
     pub(crate) fn own(&self) -> f64 {
         self.own
     }
 
-    /// Sets what this sender has in flight.
-    pub(crate) fn set(&mut self, own: f64) {
+    /// Sets the load that this sender has in flight.
+    pub(crate) fn set_own(&mut self, own: f64) {
         self.own = own;
     }
 
-    /// Changes what this sender has in flight, to 0 at the least.
-    pub(crate) fn add(&mut self, change: f64) {
+    /// Adds `change` to the load that this sender has in flight. The result is at least 0.
+    pub(crate) fn add_to_own(&mut self, change: f64) {
         self.own = (self.own + change).max(0.0);
     }
 
-    /// Takes what this sender has in flight into its average; to be called at regular times.
+    /// Adds the load that this sender has in flight to its average. Must be called at regular
+    /// intervals.
     pub(crate) fn sample(&mut self) {
-        self.mean.add(self.own);
+        self.own_average.add(self.own);
     }
 
-    /// What the whole fleet has in flight, if each of the others has this sender's average.
+    /// Returns the load that all senders have in flight. Assumes that each other sender has the
+    /// average load of this sender.
     pub(crate) fn total(&self) -> f64 {
-        self.own + self.mean.value() * self.others
+        self.own + self.own_average.value() * self.other_senders
     }
 }
--- a/crates/routing/src/estimate/mod.rs
+++ b/crates/routing/src/estimate/mod.rs
@@ -1,5 +1,5 @@
-//! Generic statistics and hashes, without any policy: tuning numbers come in as constructor
-//! parameters.
+//! Generic statistics and hash functions. They contain no policy and receive all tuning constants
+//! as constructor parameters.
 
 pub(crate) mod average;
 pub(crate) mod decay;
@@ -14,7 +14,7 @@
 pub(crate) use decay::DecayedCounterTable;
 pub(crate) use hash::RandomStream;
 pub(crate) use latency::LatencyEstimate;
-pub(crate) use load::FleetLoad;
+pub(crate) use load::SharedLoadEstimate;
 pub(crate) use pace::TransferPace;
 pub(crate) use share::AdaptiveShare;
 
--- a/crates/routing/src/estimate/rendezvous.rs
+++ b/crates/routing/src/estimate/rendezvous.rs
@@ -1,20 +1,21 @@
-//! Weighted rendezvous hashing: an order of servers for each key that all routers agree on, and
-//! that changes little when servers come and go.
+//! Weighted rendezvous hashing. For each key it gives an order of servers that is the same in all
+//! routers and changes little when servers are added or removed.
 
 use super::hash;
 
-/// Least weight of a server, so that none scores infinite.
+/// The lowest weight of a server. It keeps all scores finite.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// The rendezvous score of a server for a key: the lowest comes first. A server comes first for a
-/// share of the keys in proportion to its weight.
+/// Returns the rendezvous score of a server for a key. The server with the lowest score is first in
+/// the order. A server is first for a share of the keys that is proportional to its weight.
 pub(crate) fn score(key: u64, server: u64, weight: f64) -> f64 {
     let hash = hash::finalize(key ^ hash::integer(server));
     let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -uniform.ln() / weight.max(MIN_WEIGHT)
 }
 
-/// Servers in their order for a key, given the id and the weight of each.
+/// Returns the servers in the order of their scores for a key. `id_and_weight` returns the id and
+/// the weight of a server.
 pub(crate) fn rank<T>(
     key: u64,
     servers: impl Iterator<Item = T>,
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -44,7 +44,7 @@
     pub(super) fn meets_objective(&self, server: &ServerState) -> bool {
         let warm = server.warm_up_fraction(self.now);
         let capacity = self.shown_capacity(server) * warm;
-        let sharing = (server.in_flight.total() + 1.0) / capacity;
+        let sharing = (server.transfers_in_flight.total() + 1.0) / capacity;
         let expected_us = (self.request.transfer_s * sharing.max(1.0) * 1e6) as Micros;
         expected_us as f64 <= CACHE_MARGIN * self.request.time_left_us(self.now) as f64
     }
@@ -53,11 +53,11 @@
     /// size explains, more transfers shared the link than it carries at full rate.
     fn shown_capacity(&self, server: &ServerState) -> f64 {
         let nominal = self.router.nominal_capacity(server);
-        let Some(hits) = server.hits.summary(self.now) else {
+        let Some(hits) = server.hit_pace.summary(self.now) else {
             return nominal;
         };
-        if hits.stretch >= STRETCHED {
-            return (hits.in_flight / hits.stretch).max(MIN_SHOWN_CAPACITY);
+        if hits.slowdown >= STRETCHED {
+            return (hits.in_flight / hits.slowdown).max(MIN_SHOWN_CAPACITY);
         }
         nominal.max(hits.in_flight)
     }
@@ -65,7 +65,7 @@
     /// Whether a fill would not be in time on the location's link: all fills share its rate, so it
     /// would make the others late too.
     pub(super) fn link_is_full(&self) -> bool {
-        let in_flight = self.router.link.in_flight.total() + 1.0;
+        let in_flight = self.router.link.fills_in_flight.total() + 1.0;
         let sized = self.request.size_known;
         let margin = if sized { LINK_MARGIN } else { UNSIZED_MARGIN };
         let allowed_us = margin * self.request.time_left_us(self.now) as f64;
@@ -79,22 +79,22 @@
     /// Capacity of the location's link in transfers. If its rate is unknown, recent fills show it:
     /// without a bound, fills that come too late are restarted and keep the link congested.
     fn link_capacity(&self) -> Option<f64> {
-        let (settings, pace) = (&self.router.settings, &self.router.link.pace);
+        let (settings, pace) = (&self.router.settings, &self.router.link.fill_pace);
         let rate_kb_per_s = settings.own_zone().link_kb_per_s;
         if rate_kb_per_s > 0.0 {
             return Some(settings.transfers(rate_kb_per_s));
         }
         let fills = pace.summary(self.now)?;
-        let recent = self.now <= pace.last_at() + LINK_PACE_LIFETIME_US;
-        let congested = recent && fills.stretch >= STRETCHED;
-        congested.then(|| fills.in_flight / fills.stretch)
+        let recent = self.now <= pace.last_sample_at() + LINK_PACE_LIFETIME_US;
+        let congested = recent && fills.slowdown >= STRETCHED;
+        congested.then(|| fills.in_flight / fills.slowdown)
     }
 }
 
 impl Router {
     /// What a server is charged for a request, in seconds: clients may claim too small a size.
     pub(super) fn charge_s(&self, request: &RequestState) -> f64 {
-        let usual_s = self.latency[request.class].transfer_s();
+        let usual_s = self.latency[request.class_index].typical_transfer_s();
         request.transfer_s.max(usual_s)
     }
 
@@ -107,7 +107,7 @@
         }
         let link = self.settings.transfers(self.settings.mean_link_kb_per_s());
         let servers = match server.role {
-            Role::Cache => self.servers.caches().max(1),
+            Role::Cache => self.servers.cache_count().max(1),
             Role::Parent | Role::Origin => 1,
         };
         (link / servers as f64).max(1.0)
@@ -116,12 +116,15 @@
     /// How many attempts in flight seem to wait for fills; a stalled one is lost rather than
     /// filled.
     pub(super) fn count_fills(&self, now: Micros) -> usize {
-        let in_flight = self.requests.in_flight().filter(|(request, attempt)| {
-            let waited_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
-            waited_s > FILL_AFTER * request.transfer_s + OVERHEAD_S
-                && now <= attempt.stalls_at
-                && self.servers.is_available(attempt.server, now)
-        });
+        let in_flight = self
+            .requests
+            .attempts_in_flight()
+            .filter(|(request, attempt)| {
+                let waited_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
+                waited_s > FILL_AFTER * request.transfer_s + OVERHEAD_S
+                    && now <= attempt.stalls_at
+                    && self.servers.is_available(attempt.server, now)
+            });
         in_flight.count()
     }
 
@@ -130,7 +133,7 @@
     pub(super) fn give_up(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.remove(id)?;
         let class = self.class(&request);
-        let never_ran = request.first_run.is_none();
+        let never_ran = request.first_possible_execution.is_none();
         let retry_is_safe = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey => never_ran || class.dedup_scope == DedupScope::All,
--- a/crates/routing/src/policy/attempt_end.rs
+++ b/crates/routing/src/policy/attempt_end.rs
@@ -33,7 +33,7 @@
     /// Where only the answer was lost, the copy is in the cache by now: it may be asked again,
     /// once.
     fn same_server_again(&self) -> bool {
-        self.answer_lost && self.request.stalls == 1
+        self.answer_lost && self.request.stalled_attempts == 1
     }
 
     /// Time that the transfer takes without sharing, in seconds.
@@ -46,13 +46,13 @@
     /// Learns from the end of an attempt and, if the request has no answer yet, goes on with it.
     pub(super) fn attempt_ended(&mut self, now: Micros, report: AttemptReport) -> Option<Action> {
         let id = report.request;
-        let ended = self.requests.take_ended(id, report.attempt)?;
+        let ended = self.requests.take_ended_attempt(id, report.attempt)?;
         let end = self.interpret(ended, report);
         self.learn_from_fill(now, &end);
         if end.report.is_hit() {
             self.learn_from_hit(now, &end);
         }
-        self.servers.attempt_ended(&end.attempt);
+        self.servers.record_attempt_ended(&end.attempt);
         match end.report.outcome {
             Outcome::Ok => self.judge_answer(now, &end),
             _ => self.judge_failure(now, &end),
@@ -67,7 +67,7 @@
 
     fn interpret(&self, ended: EndedAttempt, report: AttemptReport) -> AttemptEnd {
         let EndedAttempt { request, attempt } = ended;
-        let slow_s = self.latency[request.class].slow_s(request.transfer_s);
+        let slow_s = self.latency[request.class_index].slow_threshold_s(request.transfer_s);
         let served = |id: ServerId| self.servers.succeeded_since(id, attempt.sent_at);
         let reason_unknown = self.settings.provenance != Provenance::Full
             && matches!(report.outcome, Outcome::Rejected | Outcome::Error);
@@ -76,7 +76,7 @@
             let server = self.servers.get(id);
             server.map_or(0.0, |server| server.failure_rate) + PRIOR_FAILURE_RATE
         };
-        let suspected_source = attempt.source.filter(|_| reason_unknown);
+        let suspected_source = attempt.fill_source.filter(|_| reason_unknown);
         let source_blame = match suspected_source.map(suspicion) {
             Some(source) => source / (source + suspicion(attempt.server)),
             None => f64::from(u8::from(report.fill_result.source_failed())),
@@ -84,7 +84,9 @@
         AttemptEnd {
             slow: report.took_s() > slow_s,
             answer_lost: attempt.stalled && served(attempt.server),
-            unresponsive_source: attempt.source.filter(|id| attempt.stalled && !served(*id)),
+            unresponsive_source: attempt
+                .fill_source
+                .filter(|id| attempt.stalled && !served(*id)),
             blame_shared: suspected_source.is_some(),
             source_blame,
             request,
@@ -99,15 +101,15 @@
         // A stalled attempt had its share of the link all the while. One that timed out may as well
         // have waited for the origin, which tells nothing of the link.
         let used_link = report.is_filled() || end.answer_lost;
-        if end.request.size_known && attempt.source.is_some() && used_link {
+        if end.request.size_known && attempt.fill_source.is_some() && used_link {
             let moving_s = report.took_us.saturating_sub(report.fill_ttfb_us) as f64 / 1e6;
-            let in_flight = (attempt.link_in_flight + self.link.in_flight.total()) / 2.0;
-            let pace = &mut self.link.pace;
+            let in_flight = (attempt.fills_on_link + self.link.fills_in_flight.total()) / 2.0;
+            let pace = &mut self.link.fill_pace;
             pace.add(now, moving_s, end.expected_s(), in_flight);
         }
         // A fill after a purge that never came, or that it joined, was late at the origin.
         let never_came = matches!(report.outcome, Outcome::Timeout | Outcome::Cancelled);
-        let (fill_result, waited_us) = if attempt.group_purged && never_came {
+        let (fill_result, waited_us) = if attempt.group_recently_purged && never_came {
             (FillResult::OriginFailed, report.took_us)
         } else {
             (report.fill_result, report.fill_ttfb_us)
@@ -115,9 +117,9 @@
         // An unreachable parent tells nothing of the origin: requests to other parents must go on.
         let unreachable = report.fill_result == FillResult::SourceUnreachable;
         let served_others = |id: ServerId| self.servers.succeeded_since(id, attempt.sent_at);
-        let source = attempt.source;
+        let source = attempt.fill_source;
         let tells_of_origin = source.is_some_and(|id| !unreachable || served_others(id));
-        if tells_of_origin || attempt.group_purged && never_came {
+        if tells_of_origin || attempt.group_recently_purged && never_came {
             let objective_us = self.class(&end.request).latency_objective_us.max(1);
             let lateness = waited_us as f64 / objective_us as f64;
             self.learn_from_origin(fill_result, lateness);
@@ -130,12 +132,15 @@
         if !end.request.size_known {
             let server = self.servers.get(attempt.server);
             let capacity = server.map_or(0.0, |server| self.nominal_capacity(server));
-            let sharing = attempt.server_in_flight / capacity.max(MIN_CAPACITY);
-            self.latency[end.request.class].learn_shared(took_s, sharing.max(1.0));
+            let sharing = attempt.transfers_at_server / capacity.max(MIN_CAPACITY);
+            self.latency[end.request.class_index].record_shared_transfer(took_s, sharing.max(1.0));
         }
         self.servers.change(attempt.server, |server| {
-            let in_flight = (attempt.server_in_flight + server.in_flight.total()) / 2.0;
-            server.hits.add(now, took_s, end.expected_s(), in_flight);
+            let in_flight =
+                (attempt.transfers_at_server + server.transfers_in_flight.total()) / 2.0;
+            server
+                .hit_pace
+                .add(now, took_s, end.expected_s(), in_flight);
         });
     }
 
@@ -149,21 +154,21 @@
             self.server_failed(now, id, 1.0);
         }
         self.server_succeeded(now, server);
-        self.latency[end.request.class].learn_slow(end.slow);
+        self.latency[end.request.class_index].record_slow(end.slow);
         self.link.miss_share.add(f64::from(u8::from(!hit)));
-        let Some(source) = end.attempt.source else {
+        let Some(source) = end.attempt.fill_source else {
             return;
         };
         let unknown = [FillResult::Unknown, FillResult::Coalesced];
         if hit {
             // The source was never asked, so nothing is charged to it.
-            self.servers.uncharge(source, end.report.request);
+            self.servers.cancel_charge(source, end.report.request);
         } else if !unknown.contains(&end.report.fill_result) {
             self.server_succeeded(now, source);
             if end.request.size_known {
                 let (took_s, expected_s) = (end.report.took_s(), end.expected_s());
                 self.servers.change(source, |server| {
-                    server.fills.add(now, took_s, expected_s, 0.0);
+                    server.fill_pace.add(now, took_s, expected_s, 0.0);
                 });
             }
         }
@@ -175,13 +180,13 @@
             // It counts as slow as well: if only answers counted, cancelling the slow ones would
             // lower the bound further, and a slow origin would have all its work cancelled and
             // restarted.
-            self.latency[end.request.class].learn_slow(true);
+            self.latency[end.request.class_index].record_slow(true);
         }
         let (server_weight, source_weight) = self.failure_weights(now, end);
         if server_weight > 0.0 {
             self.server_failed(now, end.attempt.server, server_weight);
         }
-        if let Some(source) = end.attempt.source.filter(|_| source_weight > 0.0) {
+        if let Some(source) = end.attempt.fill_source.filter(|_| source_weight > 0.0) {
             self.server_failed(now, source, source_weight);
         }
     }
@@ -202,12 +207,14 @@
             _ if end.blame_shared => (1.0 - end.source_blame, end.source_blame),
             Outcome::Timeout if now < end.attempt.expected_by => (0.0, 0.0),
             Outcome::ConnectFailed => {
-                self.servers.connection_failed(end.attempt.server);
+                self.servers.record_connection_failure(end.attempt.server);
                 (UNREACHABLE_WEIGHT, 0.0)
             }
             Outcome::Reset => {
                 // A reset ends all attempts on the connection at once but is one failure.
-                let first = self.servers.connection_reset(end.attempt.server, now);
+                let first = self
+                    .servers
+                    .record_connection_reset(end.attempt.server, now);
                 (if first { RESET_WEIGHT } else { 0.0 }, 0.0)
             }
             // Whether the server or the request is at fault shows with the next server.
@@ -220,17 +227,17 @@
     fn note_failure(&self, now: Micros, end: AttemptEnd) -> RequestState {
         let same_server_again = end.same_server_again();
         let (mut request, attempt, report) = (end.request, end.attempt, end.report);
-        let (server, source) = (attempt.server, attempt.source);
+        let (server, source) = (attempt.server, attempt.fill_source);
         let source_ejected = report.outcome == Outcome::Cancelled
             && source.is_some_and(|id| !self.servers.is_available(id, now))
             && self.servers.is_available(server, now);
         let source_at_fault = end.source_blame >= MAIN_BLAME || source_ejected;
         let unresponsive = end.unresponsive_source;
         if !report.outcome.never_ran() {
-            let this_run = self.servers.first_run(&attempt);
-            request.first_run.get_or_insert(this_run);
+            let this_run = self.servers.first_possible_execution(&attempt);
+            request.first_possible_execution.get_or_insert(this_run);
         }
-        request.failed_sources.extend(unresponsive);
+        request.failed_fill_sources.extend(unresponsive);
         let source_named = report.fill_result.source_failed();
         if report.outcome == Outcome::Error && !source_named && !end.blame_shared {
             request.add_server_error(server);
@@ -244,9 +251,9 @@
         if missed && source.is_none() {
             request.needs_fill = true;
         } else if source_at_fault || missed || report.fill_result == FillResult::SourceMiss {
-            request.failed_sources.extend(source);
+            request.failed_fill_sources.extend(source);
         } else if !self.class(&request).is_write && !same_server_again {
-            request.tried.push(server);
+            request.failed_servers.push(server);
         }
         request
     }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -11,7 +11,7 @@
 mod slow_start;
 
 use crate::action::Action;
-use crate::estimate::{AdaptiveShare, FleetLoad, LatencyEstimate};
+use crate::estimate::{AdaptiveShare, LatencyEstimate, SharedLoadEstimate};
 use crate::estimate::{MovingAverage, RandomStream, TransferPace};
 use crate::event::{EndpointListMode, Event, Request, RequestId};
 use crate::settings::{Class, Micros, Settings, SettingsError};
@@ -55,7 +55,7 @@
         // The others' load is guessed by the own: reported loads predicted less, as they count
         // requests that wait for fills and are old when they are used.
         let sample_weight = SWEEP_INTERVAL_US as f64 / 1e6 / MEAN_LOAD_S;
-        let in_flight = FleetLoad::new(settings.other_routers(), sample_weight);
+        let in_flight = SharedLoadEstimate::new(settings.other_routers(), sample_weight);
         let miss_share = MovingAverage::new(INITIAL_MISS_SHARE, MISS_STEP);
         let classes = settings.classes.iter();
         Ok(Router {
@@ -89,7 +89,7 @@
             },
             Event::Request(request) => actions.extend(self.request_arrived(now, request)),
             Event::StreamStarted { request, attempt } => {
-                self.requests.stream_started(request, attempt);
+                self.requests.record_stream_started(request, attempt);
             }
             Event::AttemptEnded(report) => actions.extend(self.attempt_ended(now, report)),
             Event::ClientDisconnected { request } => actions.extend(self.disconnected(request)),
@@ -97,8 +97,8 @@
             Event::Timer { tag: POLL_TIMER } => actions.push(Action::WatchEndpoints),
             Event::Timer { .. } | Event::ProbeEnded { .. } => {}
             Event::TimesMovedBack { by_us } => {
-                self.servers.move_starts_back(by_us);
-                self.purges.move_back(by_us);
+                self.servers.move_start_times_back(by_us);
+                self.purges.move_purge_times_back(by_us);
             }
             Event::Purged {
                 object,
@@ -120,15 +120,15 @@
         };
         let (class, latency) = (&self.settings.classes[index], &mut self.latency[index]);
         let own_s = self.settings.transfer_s(request.size_kb);
-        let transfer_s = own_s.unwrap_or(latency.transfer_s());
+        let transfer_s = own_s.unwrap_or(latency.typical_transfer_s());
         // A client may claim any size: one that could never be sent in time is not learned from.
         if own_s.is_some_and(|own_s| own_s * 1e6 <= class.deadline_us as f64) {
-            latency.learn_transfer(transfer_s);
+            latency.record_transfer(transfer_s);
         }
         let mut state = RequestState::new(now, &request, index, class, transfer_s);
         state.size_known = own_s.is_some();
         if !class.is_write {
-            self.popularity.count(now, &mut state);
+            self.popularity.count_request(now, &mut state);
         }
         let is_new = self.requests.insert(request.id, state);
         is_new.then(|| self.route(now, request.id)).flatten()
@@ -159,6 +159,6 @@
 
     /// The class of a request.
     fn class(&self, request: &RequestState) -> &Class {
-        &self.settings.classes[request.class]
+        &self.settings.classes[request.class_index]
     }
 }
--- a/crates/routing/src/policy/outlier.rs
+++ b/crates/routing/src/policy/outlier.rs
@@ -67,9 +67,9 @@
     /// late attempts was sent, and fills hardly explain all of these.
     pub(super) fn eject_unresponsive(&mut self, now: Micros) {
         let fill_chance = |attempt: &InFlightAttempt| self.fill_chance(now, attempt);
-        for (id, late) in self.requests.late_by_server(now, fill_chance) {
+        for (id, late) in self.requests.late_attempts_by_server(now, fill_chance) {
             self.servers.change(id, |server| {
-                let explained = late.chance > UNRESPONSIVE_CHANCE;
+                let explained = late.benign_cause_chance > UNRESPONSIVE_CHANCE;
                 let failed = !explained || server.half_open_probe_in_flight;
                 if failed && server.last_success_at < late.first_sent_at {
                     eject(now, server);
@@ -83,7 +83,7 @@
     /// more fill.
     fn fill_chance(&self, now: Micros, attempt: &InFlightAttempt) -> f64 {
         let server = self.servers.get(attempt.server);
-        if attempt.group_purged || server.is_some_and(|server| server.is_warming_up(now)) {
+        if attempt.group_recently_purged || server.is_some_and(|server| server.is_warming_up(now)) {
             return 1.0;
         }
         self.link.miss_share.value().max(MIN_FILL_CHANCE)
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -24,7 +24,7 @@
             router,
             now,
             request,
-            ranked: router.servers.ranked(request.part, weighted),
+            ranked: router.servers.ranked(request.part_hash, weighted),
         }
     }
 
@@ -38,8 +38,8 @@
 
     /// Copies of the object: its share of the requests is its share of the caches, one at least.
     fn copies(&self) -> usize {
-        let requests = self.router.popularity.total(self.now);
-        let share = self.request.object_count / requests.max(PRIOR_REQUESTS);
+        let requests = self.router.popularity.total_requests(self.now);
+        let share = self.request.object_request_count / requests.max(PRIOR_REQUESTS);
         let copies = share * self.ranked.caches.len() as f64;
         copies.ceil().max(1.0) as usize
     }
@@ -47,7 +47,7 @@
     /// A uniform pick among the caches that hold copies and are not full, else the next in the
     /// order.
     fn pick_cache(&self) -> Option<Target> {
-        let tried = &self.request.tried;
+        let tried = &self.request.failed_servers;
         let usable = |cache: &&ServerState| !tried.contains(&cache.id) && self.can_serve(cache);
         let (caches, copies) = (self.ranked.caches.iter().copied(), self.copies());
         let holders: Vec<_> = caches.clone().take(copies).filter(usable).collect();
@@ -74,7 +74,7 @@
         let peer = caches.find(|peer| peer.id != cache.id)?;
         let lacks_copy = first.id != cache.id || cache.is_warming_up(self.now);
         let enabled = self.router.settings.peer_fill != PeerFill::Off;
-        let wanted = enabled && lacks_copy && !self.request.source_failed(peer.id);
+        let wanted = enabled && lacks_copy && !self.request.has_failed_source(peer.id);
         let usable = wanted && !peer.is_warming_up(self.now) && self.can_serve(peer);
         usable.then_some(peer)
     }
@@ -92,11 +92,11 @@
         if sources.is_empty() {
             sources.extend(self.ranked.origin);
         }
-        sources.retain(|source| !self.request.source_failed(source.id) && self.accepts(source));
+        sources.retain(|source| !self.request.has_failed_source(source.id) && self.accepts(source));
         let is_available = |source: &&ServerState| source.is_available(self.now);
         let mut available = sources.iter().copied().filter(is_available);
         let (first, second) = (available.next(), available.next());
-        let stretch = |source: &ServerState| Some(source.fills.summary(self.now)?.stretch);
+        let stretch = |source: &ServerState| Some(source.fill_pace.summary(self.now)?.slowdown);
         let stretches = first.and_then(stretch).zip(second.and_then(stretch));
         let slower = stretches.is_some_and(|(first, second)| first > CLEARLY_SLOWER * second);
         let preferred = first.filter(|_| !slower).or(second);
@@ -107,11 +107,13 @@
     fn pick_for_write(&self) -> Option<Target> {
         let scope = self.router.class(self.request).dedup_scope;
         let drops_repeats = |server: &ServerState| {
-            self.request.first_run.is_none_or(|run| match scope {
-                DedupScope::All => true,
-                DedupScope::Zone => server.zone == run.zone,
-                DedupScope::Cell => server.cell == run.cell,
-            })
+            self.request
+                .first_possible_execution
+                .is_none_or(|run| match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => server.zone_index == run.zone_index,
+                    DedupScope::Cell => server.cell == run.cell,
+                })
         };
         // There is no way around an ejected origin, so it is asked all the same.
         let origin = self.ranked.origin?;
@@ -129,9 +131,9 @@
     /// ejections leave none, they are a sign of overload rather than of single servers at fault.
     fn pick_last_resort(&self) -> Option<Target> {
         let (caches, origin) = (&self.ranked.caches, self.ranked.origin);
-        let tried = &self.request.tried;
+        let tried = &self.request.failed_servers;
         let untried = |server: &&&ServerState| !tried.contains(&server.id) && self.accepts(server);
-        let origin_failed = origin.is_some_and(|origin| self.request.source_failed(origin.id));
+        let origin_failed = origin.is_some_and(|origin| self.request.has_failed_source(origin.id));
         let cache_available = caches.iter().any(|cache| cache.is_available(self.now));
         let direct = self.router.settings.direct_requests && !cache_available && !origin_failed;
         if direct && !self.link_is_full() {
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -41,7 +41,7 @@
     /// that may have taken effect is no obstacle.
     pub(super) fn may_attempt(&self, now: Micros, request: &RequestState) -> bool {
         let class = self.class(request);
-        let repeatable = request.first_run.is_none_or(|run| {
+        let repeatable = request.first_possible_execution.is_none_or(|run| {
             let answered_after_us = now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US;
             match class.idempotency {
                 Idempotency::Idempotent => true,
@@ -50,8 +50,8 @@
             }
         });
         repeatable
-            && request.deadline.saturating_sub(now) >= MIN_ATTEMPT_US
-            && request.attempts < self.settings.max_attempts
+            && request.client_deadline.saturating_sub(now) >= MIN_ATTEMPT_US
+            && request.attempts_sent < self.settings.max_attempts
             && request.server_errors < MAX_SERVER_ERRORS
     }
 
@@ -61,7 +61,7 @@
         let (class, transfer_s) = (self.class(request), self.charge_s(request));
         let attempt = self.new_attempt(now, request, target);
         let keyed = class.idempotency == Idempotency::IdempotencyKey;
-        let first_run = request.first_run.filter(|_| keyed);
+        let first_run = request.first_possible_execution.filter(|_| keyed);
         let action = Action::StartAttempt {
             request: id,
             server: target.server,
@@ -69,24 +69,28 @@
             fill: Some(self.fill(now, id, request, target)),
             send_by: first_run.map(|run| run.sent_at + class.dedup_window_us),
         };
-        self.servers.attempt_sent(id, &attempt, transfer_s);
-        self.link.attempt_sent();
-        self.requests.attempt_sent(id, attempt);
+        self.servers.record_attempt_sent(id, &attempt, transfer_s);
+        self.link.record_attempt_sent();
+        self.requests.record_attempt_sent(id, attempt);
         Some(action)
     }
 
     fn new_attempt(&self, now: Micros, request: &RequestState, target: Target) -> InFlightAttempt {
         let server = self.servers.get(target.server);
-        let in_flight = server.map_or(0.0, |server| server.in_flight.total());
-        let slow_s = self.latency[request.class].slow_s(request.transfer_s);
+        let in_flight = server.map_or(0.0, |server| server.transfers_in_flight.total());
+        let slow_s = self.latency[request.class_index].slow_threshold_s(request.transfer_s);
         let completion_us = self.settings.rules.purge_completion_us;
         InFlightAttempt {
             expected_by: self.expected_by(now, request, slow_s),
             stalls_at: stalls_at(now, request, slow_s),
-            server_in_flight: in_flight + 1.0,
-            link_in_flight: self.link.in_flight.total() + 1.0,
-            group_purged: self.purges.group_purged(request.group, now, completion_us),
-            ..InFlightAttempt::new(now, request.attempts, target)
+            transfers_at_server: in_flight + 1.0,
+            fills_on_link: self.link.fills_in_flight.total() + 1.0,
+            group_recently_purged: self.purges.group_purged_within(
+                request.group,
+                now,
+                completion_us,
+            ),
+            ..InFlightAttempt::new(now, request.attempts_sent, target)
         }
     }
 
@@ -94,7 +98,7 @@
     /// all wait for the origin: then only what is slow is past it.
     fn expected_by(&self, now: Micros, request: &RequestState, slow_s: f64) -> Micros {
         let mut expected_s = EXPECTED_S + EXPECTED_TRANSFERS * request.transfer_s;
-        if self.purges.any_group_purged(now, REFILL_US) {
+        if self.purges.any_group_purged_within(now, REFILL_US) {
             expected_s = expected_s.max(slow_s);
         }
         now + (expected_s * 1e6) as Micros
@@ -105,21 +109,23 @@
         let class = self.class(request);
         let server = self.servers.get(target.server);
         let cached = !class.is_write && server.is_none_or(|server| server.role == Role::Cache);
-        let repeated = request.part_count >= REPEATED_COUNT;
+        let repeated = request.part_request_count >= REPEATED_COUNT;
         // However long ago the purge: a fill that was in flight may have brought an older copy
         // after the servers had dropped theirs.
-        let since_purge_us = self
-            .purges
-            .since_purge_us(now, request.object, request.group);
+        let since_purge_us =
+            self.purges
+                .time_since_purge_us(now, request.object_hash, request.group);
         let lifetime_us = class.lifetime_us();
         // Drawn once for a request, so that retries are no further chances.
-        let admitted = self.origin_share.admits(hash::fraction(self.seed, id));
+        let admitted = self
+            .origin_share
+            .admits(hash::uniform_fraction(self.seed, id));
         Fill {
-            source: target.source.unwrap_or(target.server),
+            source: target.fill_source.unwrap_or(target.server),
             retention_rank: u8::from(cached) + u8::from(cached && repeated),
             max_age_us: since_purge_us.map(|age_us| age_us.min(lifetime_us.unwrap_or(age_us))),
             coalesce: self.settings.coalescing && cached,
-            only_if_cached: !class.is_write && target.source.is_some() && !admitted,
+            only_if_cached: !class.is_write && target.fill_source.is_some() && !admitted,
             bypass_parent: false,
             background_refresh: lifetime_us.is_some() && repeated && cached,
         }
@@ -130,13 +136,15 @@
     pub(super) fn cancel_hopeless(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let classes = &self.settings.classes;
         for (id, request) in self.requests.iter_mut() {
-            let idempotent = classes[request.class].idempotency == Idempotency::Idempotent;
+            let idempotent = classes[request.class_index].idempotency == Idempotency::Idempotent;
             let allowed = self.settings.cancellation && idempotent;
-            let Some(attempt) = request.cancellable().filter(|_| allowed) else {
+            let Some(attempt) = request.cancellable_attempt().filter(|_| allowed) else {
                 continue;
             };
             let late = attempt.expected_by < now;
-            let mut servers = attempt.servers().filter_map(|id| self.servers.get(id));
+            let mut servers = attempt
+                .server_and_fill_source()
+                .filter_map(|id| self.servers.get(id));
             let hangs = late
                 && servers.any(|server| {
                     now < server.ejected_until && server.last_success_at < attempt.sent_at
@@ -152,14 +160,14 @@
     pub(super) fn disconnected(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.get_mut(id)?;
         request.client_disconnected = true;
-        let attempt = request.cancellable()?;
+        let attempt = request.cancellable_attempt()?;
         self.settings.cancellation.then(|| attempt.cancel(id))
     }
 }
 
 /// When an attempt that is sent now stalls: sharing does not explain that it takes longer.
 fn stalls_at(now: Micros, request: &RequestState, slow_s: f64) -> Micros {
-    let doublings = request.stalls.min(MAX_STALL_DOUBLINGS);
+    let doublings = request.stalled_attempts.min(MAX_STALL_DOUBLINGS);
     let stalled_s = STALL_MULTIPLE * slow_s * f64::from(1 << doublings);
     now + (stalled_s * 1e6) as Micros
 }
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -21,12 +21,12 @@
         let capacity = self.router.nominal_capacity(server);
         let all_s = BUDGET_USE * multiple * fraction * capacity * (window_us as f64 / 1e6);
         let budget_s = all_s / f64::from(server.warm_up.routers.max(1));
-        let spent_s = server.charged_s(window_start);
+        let spent_s = server.charged_transfer_s(window_start);
         // A part smaller than one request is spent by turns: each router sends one with the chance
         // that keeps the sum of all. Drawn once a server and window, so that retries are no further
         // chances.
         let key = (self.now / window_us.max(1)) ^ hash::finalize(server.id);
-        let draw = hash::fraction(self.router.seed, key);
+        let draw = hash::uniform_fraction(self.router.seed, key);
         spent_s + transfer_s <= budget_s || spent_s == 0.0 && draw * transfer_s < budget_s
     }
 }
--- a/crates/routing/src/state/link.rs
+++ b/crates/routing/src/state/link.rs
@@ -1,35 +1,41 @@
-//! The location's one link, by which all fills come.
+//! The state of the location's single link, which carries all fills.
 
-use crate::estimate::{FleetLoad, MovingAverage, TransferPace};
+use crate::estimate::{MovingAverage, SharedLoadEstimate, TransferPace};
 
-/// What was seen of the location's link.
+/// What the router has observed of the location's link.
 pub(crate) struct LinkState {
-    /// Pace of recent fills from any source, which shows the link's capacity.
-    pub(crate) pace: TransferPace,
-    /// Fills that seem to be in flight.
-    pub(crate) in_flight: FleetLoad,
-    /// Share of attempts that find no copy in the cache, from 0 to 1.
+    /// The pace of recent fills from all sources. It shows the capacity of the link.
+    pub(crate) fill_pace: TransferPace,
+    /// An estimate of the fills in flight.
+    pub(crate) fills_in_flight: SharedLoadEstimate,
+    /// The share, from 0 to 1, of attempts that find no copy in the cache.
     pub(crate) miss_share: MovingAverage,
 }
 
 impl LinkState {
-    /// Nothing was seen yet; starts with these estimates.
-    pub(crate) fn new(pace: TransferPace, in_flight: FleetLoad, miss_share: MovingAverage) -> Self {
+    /// Creates the state of a link of which nothing has been observed, with these initial
+    /// estimates.
+    pub(crate) fn new(
+        fill_pace: TransferPace,
+        fills_in_flight: SharedLoadEstimate,
+        miss_share: MovingAverage,
+    ) -> Self {
         LinkState {
-            pace,
-            in_flight,
+            fill_pace,
+            fills_in_flight,
             miss_share,
         }
     }
 
-    /// Counts an attempt that was sent as a fill, by its chance to need one.
-    pub(crate) fn attempt_sent(&mut self) {
-        self.in_flight.add(self.miss_share.value());
+    /// Counts an attempt that was sent as the fraction of a fill that is its chance of a miss.
+    pub(crate) fn record_attempt_sent(&mut self) {
+        self.fills_in_flight.add_to_own(self.miss_share.value());
     }
 
-    /// Corrects the count of fills in flight.
+    /// Replaces the estimated number of fills in flight by a count, and adds it to the average over
+    /// time.
     pub(crate) fn sweep(&mut self, fills: usize) {
-        self.in_flight.set(fills as f64);
-        self.in_flight.sample();
+        self.fills_in_flight.set_own(fills as f64);
+        self.fills_in_flight.sample();
     }
 }
--- a/crates/routing/src/state/mod.rs
+++ b/crates/routing/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the router knows: servers, requests and purges. Plain facts and queries, no choice and no
-//! threshold.
+//! The facts that the router decides by: its servers, requests, purges and link. The module stores
+//! and queries them. Decisions and thresholds are in the `policy` module.
 
 mod link;
 mod popularity;
@@ -10,7 +10,9 @@
 pub(crate) use link::LinkState;
 pub(crate) use popularity::Popularity;
 pub(crate) use purges::PurgeTable;
-pub(crate) use requests::{EndedAttempt, FirstRun, InFlightAttempt, RequestState, RequestTable};
+pub(crate) use requests::{
+    EndedAttempt, FirstPossibleExecution, InFlightAttempt, RequestState, RequestTable,
+};
 pub(crate) use servers::{RankedServers, Role, ServerState, ServerTable, Target};
 
 #[cfg(test)]
--- a/crates/routing/src/state/popularity.rs
+++ b/crates/routing/src/state/popularity.rs
@@ -1,33 +1,33 @@
-//! How often objects and their parts were requested of late.
+//! How often objects and their parts were requested recently.
 
 use super::RequestState;
 use crate::estimate::DecayedCounterTable;
 use crate::settings::Micros;
 
-/// Decayed request counts of objects and of their parts.
+/// The decayed request counts of objects and of their parts.
 pub(crate) struct Popularity {
     objects: DecayedCounterTable,
     parts: DecayedCounterTable,
 }
 
 impl Popularity {
-    /// No requests yet; at most `capacity` objects, and as many parts, are counted. See
-    /// [`DecayedCounterTable::new`].
-    pub(crate) fn new(half_life_s: f64, capacity: usize, first_floor: f64) -> Self {
+    /// Creates empty tables that count the requests of at most `capacity` objects and `capacity`
+    /// parts. See [`DecayedCounterTable::new`] for the eviction from a full table.
+    pub(crate) fn new(half_life_s: f64, capacity: usize, initial_eviction_threshold: f64) -> Self {
         Popularity {
-            objects: DecayedCounterTable::new(half_life_s, capacity, first_floor),
-            parts: DecayedCounterTable::new(half_life_s, capacity, first_floor),
+            objects: DecayedCounterTable::new(half_life_s, capacity, initial_eviction_threshold),
+            parts: DecayedCounterTable::new(half_life_s, capacity, initial_eviction_threshold),
         }
     }
 
-    /// Counts a request and sets the counts of its object and its part there.
-    pub(crate) fn count(&mut self, now: Micros, request: &mut RequestState) {
-        request.object_count = self.objects.add(request.object, now);
-        request.part_count = self.parts.add(request.part, now);
+    /// Counts a request and stores the counts of its object and its part in the request.
+    pub(crate) fn count_request(&mut self, now: Micros, request: &mut RequestState) {
+        request.object_request_count = self.objects.add(request.object_hash, now);
+        request.part_request_count = self.parts.add(request.part_hash, now);
     }
 
-    /// The count of all requests.
-    pub(crate) fn total(&self, now: Micros) -> f64 {
+    /// Returns the decayed count of all requests.
+    pub(crate) fn total_requests(&self, now: Micros) -> f64 {
         self.objects.total(now)
     }
 }
--- a/crates/routing/src/state/purges.rs
+++ b/crates/routing/src/state/purges.rs
@@ -1,104 +1,114 @@
-//! Which objects and groups were purged, and when.
+//! Which objects and purge groups were purged, and when.
 
 use crate::estimate::hash;
 use crate::settings::Micros;
 use std::collections::BTreeMap;
 
-/// Keeps the keys of groups apart from those of objects.
-const GROUP_SALT: u64 = 0x94d0_49bb_1331_11eb;
+/// Makes the keys of purge groups differ from those of objects, which are in the same table.
+const GROUP_KEY_SALT: u64 = 0x94d0_49bb_1331_11eb;
 
-/// The last purge of an object or a group.
+/// The last purge of an object or a purge group.
 struct Purge {
-    at: Micros,
-    /// The servers drop nothing by themselves, so the purge is never forgotten.
+    purged_at: Micros,
+    /// The servers are not notified of the purge and drop no copies. The router must enforce the
+    /// purge forever, so it is never evicted from the table.
     permanent: bool,
 }
 
-/// The purges of objects and groups. When it is full, the oldest ones that are not permanent are
-/// dropped.
+/// The purges of objects and purge groups. A full table evicts the oldest purges that are not
+/// permanent.
 pub(crate) struct PurgeTable {
     capacity: usize,
-    /// By hash of the object or of the group.
+    /// The purges by the hash of the object or of the purge group.
     purges: BTreeMap<u64, Purge>,
-    last_group_purge: Option<Micros>,
+    last_group_purge_notified_at: Option<Micros>,
 }
 
 fn group_key(group: u64) -> u64 {
-    hash::finalize(group ^ GROUP_SALT)
+    hash::finalize(group ^ GROUP_KEY_SALT)
 }
 
 impl PurgeTable {
-    /// An empty table for `capacity` purges; permanent ones may be more.
+    /// Creates an empty table for `capacity` purges. Permanent purges may exceed the capacity.
     pub(crate) fn new(capacity: usize) -> Self {
         PurgeTable {
             capacity,
             purges: BTreeMap::new(),
-            last_group_purge: None,
+            last_group_purge_notified_at: None,
         }
     }
 
-    /// Records the purge of an object, or of a whole group if there is none, that took place at
-    /// `at`.
+    /// Records a purge that took place at `purged_at`. Without an object, the whole purge group was
+    /// purged.
     pub(crate) fn record(
         &mut self,
         now: Micros,
         object: Option<&str>,
         group: u64,
-        at: Micros,
+        purged_at: Micros,
         permanent: bool,
     ) {
         if object.is_none() {
-            self.last_group_purge = Some(now);
+            self.last_group_purge_notified_at = Some(now);
         }
         let key = object.map_or(group_key(group), hash::text);
         let purge = self.purges.entry(key).or_insert(Purge {
-            at,
+            purged_at,
             permanent: false,
         });
-        purge.at = purge.at.max(at);
+        purge.purged_at = purge.purged_at.max(purged_at);
         purge.permanent |= permanent;
         if self.purges.len() > self.capacity {
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// The purges that servers were notified of turn out to lie further back. The times of permanent
-    /// ones are this router's own.
-    pub(crate) fn move_back(&mut self, by_us: Micros) {
-        let notified = self.purges.values_mut().filter(|purge| !purge.permanent);
-        for purge in notified {
-            purge.at = purge.at.saturating_sub(by_us);
+    /// Moves the times of all purges that are not permanent back by `by_us` microseconds. The times
+    /// of permanent purges come from this router's own clock and need no correction.
+    pub(crate) fn move_purge_times_back(&mut self, by_us: Micros) {
+        let temporary = self.purges.values_mut().filter(|purge| !purge.permanent);
+        for purge in temporary {
+            purge.purged_at = purge.purged_at.saturating_sub(by_us);
         }
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let temporary = self.purges.values().filter(|purge| !purge.permanent);
-        let oldest = temporary.map(|purge| purge.at).min();
+        let oldest = temporary.map(|purge| purge.purged_at).min();
         self.purges
-            .retain(|_, purge| purge.permanent || Some(purge.at) > oldest);
+            .retain(|_, purge| purge.permanent || Some(purge.purged_at) > oldest);
     }
 
-    /// Time, 1 at the least, since the object with this hash or its group was last purged; none:
-    /// never.
-    pub(crate) fn since_purge_us(&self, now: Micros, object: u64, group: u64) -> Option<Micros> {
-        let object_purge = self.purges.get(&object).map(|purge| purge.at);
-        let last_purge = object_purge.max(self.last_purge_of_group(group));
-        last_purge.map(|at| now.saturating_sub(at).max(1))
+    /// Returns the time, at least 1 microsecond, since the object with this hash or its purge group
+    /// was last purged. Returns `None` if the table has no purge of either.
+    pub(crate) fn time_since_purge_us(
+        &self,
+        now: Micros,
+        object_hash: u64,
+        group: u64,
+    ) -> Option<Micros> {
+        let object_purged_at = self.purges.get(&object_hash).map(|purge| purge.purged_at);
+        let last_purged_at = object_purged_at.max(self.group_purged_at(group));
+        last_purged_at.map(|purged_at| now.saturating_sub(purged_at).max(1))
     }
 
-    /// Whether this group was purged as a whole at most `within_us` before `now`.
-    pub(crate) fn group_purged(&self, group: u64, now: Micros, within_us: Micros) -> bool {
-        let purged_at = self.last_purge_of_group(group);
-        purged_at.is_some_and(|at| now <= at + within_us)
+    /// Returns whether this whole purge group was purged at most `within_us` microseconds before
+    /// `now`.
+    pub(crate) fn group_purged_within(&self, group: u64, now: Micros, within_us: Micros) -> bool {
+        let group_purged_at = self.group_purged_at(group);
+        group_purged_at.is_some_and(|purged_at| now <= purged_at + within_us)
     }
 
-    fn last_purge_of_group(&self, group: u64) -> Option<Micros> {
-        self.purges.get(&group_key(group)).map(|purge| purge.at)
+    fn group_purged_at(&self, group: u64) -> Option<Micros> {
+        self.purges
+            .get(&group_key(group))
+            .map(|purge| purge.purged_at)
     }
 
-    /// Whether the router was notified at most `within_us` before `now` that any group was purged.
-    pub(crate) fn any_group_purged(&self, now: Micros, within_us: Micros) -> bool {
-        let notified_at = self.last_group_purge;
-        notified_at.is_some_and(|at| now <= at + within_us)
+    /// Returns whether the router was notified of the purge of any whole purge group at most
+    /// `within_us` microseconds before `now`.
+    pub(crate) fn any_group_purged_within(&self, now: Micros, within_us: Micros) -> bool {
+        let notified_at = self.last_group_purge_notified_at;
+        notified_at.is_some_and(|notified_at| now <= notified_at + within_us)
     }
 }
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that have no final answer yet, and the attempt that each has in flight.
+//! The requests that have no final answer yet, each with its attempt in flight.
 
 use super::Target;
 use crate::action::Action;
@@ -7,63 +7,69 @@
 use crate::settings::{Class, Micros};
 use std::collections::{btree_map, BTreeMap};
 
-/// The first attempt of a request that may have taken effect.
+/// The first attempt of a request that a server may have executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct FirstRun {
-    /// When it was sent.
+pub(crate) struct FirstPossibleExecution {
+    /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// Its server's zone, as an index into the settings' zones; none: not one of them.
-    pub(crate) zone: Option<usize>,
-    /// Its server's cell.
+    /// The zone of the server, as an index into the zones of the settings. `None` if the settings
+    /// do not have the zone.
+    pub(crate) zone_index: Option<usize>,
+    /// The cell of the server.
     pub(crate) cell: u64,
 }
 
 /// An attempt that was sent and has not ended.
 #[derive(Debug)]
 pub(crate) struct InFlightAttempt {
-    /// Counted from 0 for each request.
+    /// The number of the attempt, counted from 0 for each request.
     pub(crate) number: u32,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub(crate) server: ServerId,
-    /// Where a miss is filled from; none: nowhere.
-    pub(crate) source: Option<ServerId>,
-    /// When it was sent.
+    /// The server that a miss is filled from. `None` if a miss is not filled.
+    pub(crate) fill_source: Option<ServerId>,
+    /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// When it is past its expected latency.
+    /// The time until which the answer is expected. The attempt is late from then on.
     pub(crate) expected_by: Micros,
-    /// When it counts as stalled: no sharing of links explains that it is still in flight.
+    /// The time from which the attempt counts as stalled. Sharing of links does not explain that it
+    /// is still in flight then.
     pub(crate) stalls_at: Micros,
-    /// Transfers in flight at the server when it was sent, this one included; an estimate.
-    pub(crate) server_in_flight: f64,
-    /// Fills by the location's link when it was sent, this one included; an estimate.
-    pub(crate) link_in_flight: f64,
-    /// Its group was purged shortly before, so that it waits for a fill.
-    pub(crate) group_purged: bool,
-    /// It was cancelled.
+    /// The estimated number of transfers in flight at the server when the attempt was sent,
+    /// including this one.
+    pub(crate) transfers_at_server: f64,
+    /// The estimated number of fills on the location's link when the attempt was sent, including
+    /// this one.
+    pub(crate) fills_on_link: f64,
+    /// The purge group of the object was purged shortly before the attempt was sent, so the attempt
+    /// waits for a fill.
+    pub(crate) group_recently_purged: bool,
+    /// The attempt was cancelled.
     pub(crate) cancelled: bool,
-    /// It was cancelled because it stalled.
+    /// The attempt was cancelled because it stalled.
     pub(crate) stalled: bool,
 }
 
 impl InFlightAttempt {
-    /// An attempt with this number that is sent now, with no expectations yet.
+    /// Creates an attempt with this number that is sent now. It is never late or stalled until
+    /// `expected_by` and `stalls_at` are set.
     pub(crate) fn new(now: Micros, number: u32, target: Target) -> Self {
         InFlightAttempt {
             number,
             server: target.server,
-            source: target.source,
+            fill_source: target.fill_source,
             sent_at: now,
             expected_by: Micros::MAX,
             stalls_at: Micros::MAX,
-            server_in_flight: 0.0,
-            link_in_flight: 0.0,
-            group_purged: false,
+            transfers_at_server: 0.0,
+            fills_on_link: 0.0,
+            group_recently_purged: false,
             cancelled: false,
             stalled: false,
         }
     }
 
-    /// Marks it as cancelled, and gives the action to do so.
+    /// Marks the attempt as cancelled and returns the action that cancels it.
     pub(crate) fn cancel(&mut self, request: RequestId) -> Action {
         self.cancelled = true;
         Action::CancelAttempt {
@@ -72,73 +78,76 @@
         }
     }
 
-    /// The server and, if there is one, the source of its fill.
-    pub(crate) fn servers(&self) -> impl Iterator<Item = ServerId> {
-        [Some(self.server), self.source].into_iter().flatten()
+    /// Returns the server and, if a miss is filled, the fill source.
+    pub(crate) fn server_and_fill_source(&self) -> impl Iterator<Item = ServerId> {
+        [Some(self.server), self.fill_source].into_iter().flatten()
     }
 }
 
-/// A server's attempts that are past their expected latency.
+/// The late attempts at one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LateAttempts {
-    /// The chance that an innocent cause explains all of them.
-    pub(crate) chance: f64,
-    /// When the first of them was sent.
+    /// The chance, from 0 to 1, that all of the attempts are late for a reason other than a failure
+    /// of the server.
+    pub(crate) benign_cause_chance: f64,
+    /// When the first of the attempts was sent.
     pub(crate) first_sent_at: Micros,
 }
 
 /// A request that has no final answer yet.
 #[derive(Debug, Default)]
 pub(crate) struct RequestState {
-    /// Index of its class in the settings.
-    pub(crate) class: usize,
-    /// Hash of the object.
-    pub(crate) object: u64,
-    /// Hash of the part of the object.
-    pub(crate) part: u64,
-    /// The object's group.
+    /// The index of the request's class in the settings.
+    pub(crate) class_index: usize,
+    /// The hash of the object.
+    pub(crate) object_hash: u64,
+    /// The hash of the part of the object.
+    pub(crate) part_hash: u64,
+    /// The purge group of the object.
     pub(crate) group: u64,
-    /// Time in seconds that its transfer takes alone.
+    /// The time in seconds that the transfer takes if it does not share its link.
     pub(crate) transfer_s: f64,
-    /// That time comes from its size; else it is its class's usual one.
+    /// `transfer_s` was computed from the size of the part. Otherwise it is the typical transfer
+    /// time of the class.
     pub(crate) size_known: bool,
-    /// Decayed request count of the object.
-    pub(crate) object_count: f64,
-    /// Decayed request count of the part.
-    pub(crate) part_count: f64,
-    /// An answer until then meets its latency objective.
-    pub(crate) objective_at: Micros,
+    /// The decayed request count of the object.
+    pub(crate) object_request_count: f64,
+    /// The decayed request count of the part.
+    pub(crate) part_request_count: f64,
+    /// The time until which an answer meets the latency objective.
+    pub(crate) objective_deadline: Micros,
     /// When the client gives up.
-    pub(crate) deadline: Micros,
-    /// Attempts that were sent.
-    pub(crate) attempts: u32,
+    pub(crate) client_deadline: Micros,
+    /// The number of attempts that were sent.
+    pub(crate) attempts_sent: u32,
     /// The attempt in flight.
-    pub(crate) in_flight: Option<InFlightAttempt>,
+    pub(crate) attempt_in_flight: Option<InFlightAttempt>,
     /// A streamed answer has begun.
     pub(crate) stream_started: bool,
     /// The client disconnected.
     pub(crate) client_disconnected: bool,
-    /// Attempts that failed by their source, or may have; see the policy for their weights.
+    /// The weighted number of attempts whose fill failed or may have failed. The policy defines the
+    /// weights.
     pub(crate) failed_fills: u32,
-    /// Attempts that were cancelled because they stalled.
-    pub(crate) stalls: u32,
-    /// Attempts that servers failed without a reason.
+    /// The number of attempts that were cancelled because they stalled.
+    pub(crate) stalled_attempts: u32,
+    /// The number of attempts that servers failed without a reason.
     pub(crate) server_errors: u32,
-    /// The server of the first of these.
+    /// The first server that failed an attempt without a reason.
     pub(crate) first_error_server: Option<ServerId>,
-    /// A cache that was asked without a source of a fill has no copy.
+    /// A cache server that received the request without a fill source has no copy.
     pub(crate) needs_fill: bool,
-    /// Servers that failed it.
-    pub(crate) tried: Vec<ServerId>,
-    /// Sources that failed its fill.
-    pub(crate) failed_sources: Vec<ServerId>,
-    /// The first attempt that may have taken effect.
-    pub(crate) first_run: Option<FirstRun>,
+    /// The servers that failed the request.
+    pub(crate) failed_servers: Vec<ServerId>,
+    /// The fill sources that failed a fill for the request.
+    pub(crate) failed_fill_sources: Vec<ServerId>,
+    /// The first attempt that a server may have executed.
+    pub(crate) first_possible_execution: Option<FirstPossibleExecution>,
 }
 
 impl RequestState {
-    /// A request that arrived, of the class with this index. Its transfer time alone is given in
-    /// seconds.
+    /// Creates the state of a request that arrives now. `class_index` is the index of its class.
+    /// The transfer takes `transfer_s` seconds if it does not share its link.
     pub(crate) fn new(
         now: Micros,
         request: &Request,
@@ -146,67 +155,69 @@
         class: &Class,
         transfer_s: f64,
     ) -> Self {
-        let for_size_us = (class.objective_per_transfer_time * transfer_s * 1e6) as Micros;
-        let object = hash::text(&request.object);
+        let size_allowance_us = (class.objective_per_transfer_time * transfer_s * 1e6) as Micros;
+        let object_hash = hash::text(&request.object);
         RequestState {
-            class: class_index,
-            object,
-            part: hash::part(object, request.part),
+            class_index,
+            object_hash,
+            part_hash: hash::part(object_hash, request.part),
             group: request.group,
             transfer_s,
-            objective_at: now + class.latency_objective_us + for_size_us,
-            deadline: now + request.remaining_us,
+            objective_deadline: now + class.latency_objective_us + size_allowance_us,
+            client_deadline: now + request.remaining_us,
             ..RequestState::default()
         }
     }
 
-    /// The attempt in flight, if it may be cancelled: it was not before, and no streamed answer has
-    /// begun.
-    pub(crate) fn cancellable(&mut self) -> Option<&mut InFlightAttempt> {
+    /// Returns the attempt in flight if it may be cancelled. Returns `None` if there is none, if it
+    /// was cancelled before, or if a streamed answer has begun.
+    pub(crate) fn cancellable_attempt(&mut self) -> Option<&mut InFlightAttempt> {
         let stream_started = self.stream_started;
-        let in_flight = self.in_flight.as_mut();
-        in_flight.filter(|attempt| !attempt.cancelled && !stream_started)
+        let attempt = self.attempt_in_flight.as_mut();
+        attempt.filter(|attempt| !attempt.cancelled && !stream_started)
     }
 
-    /// Whether a source failed its fill.
-    pub(crate) fn source_failed(&self, source: ServerId) -> bool {
-        self.failed_sources.contains(&source)
+    /// Returns whether this fill source failed a fill for the request.
+    pub(crate) fn has_failed_source(&self, source: ServerId) -> bool {
+        self.failed_fill_sources.contains(&source)
     }
 
-    /// Records that a server failed it without a reason.
+    /// Records that a server failed the request without a reason.
     pub(crate) fn add_server_error(&mut self, server: ServerId) {
         self.server_errors += 1;
         self.first_error_server.get_or_insert(server);
     }
 
-    /// Time until its latency objective or, once that is past, until the client gives up.
+    /// Returns the time until the latency objective. Once that is past, returns the time until the
+    /// client gives up.
     pub(crate) fn time_left_us(&self, now: Micros) -> Micros {
-        let met_until = self.objective_at.min(self.deadline);
-        let wanted_until = if now < self.objective_at {
-            met_until
+        let in_time_until = self.objective_deadline.min(self.client_deadline);
+        let useful_until = if now < self.objective_deadline {
+            in_time_until
         } else {
-            self.deadline
+            self.client_deadline
         };
-        wanted_until.saturating_sub(now)
+        useful_until.saturating_sub(now)
     }
 }
 
 /// An attempt that has ended, with its request.
 pub(crate) struct EndedAttempt {
-    /// Its request, which is no longer in the table.
+    /// The request, which is no longer in the table.
     pub(crate) request: RequestState,
     /// The attempt.
     pub(crate) attempt: InFlightAttempt,
 }
 
-/// The requests that have no final answer yet, in the order of their ids.
+/// The requests that have no final answer yet, ordered by id.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, RequestState>,
 }
 
 impl RequestTable {
-    /// Adds a request; `false`, and no change, if there is one of that id.
+    /// Adds a request. If the table has a request with that id, returns `false` and changes
+    /// nothing.
     pub(crate) fn insert(&mut self, id: RequestId, request: RequestState) -> bool {
         let entry = self.requests.entry(id);
         let vacant = matches!(entry, btree_map::Entry::Vacant(_));
@@ -214,60 +225,67 @@
         vacant
     }
 
-    /// The request of this id.
+    /// Returns the request with this id, or `None` if it is not in the table.
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
-    /// The request of this id.
+    /// Returns the request with this id, or `None` if it is not in the table.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
 
-    /// Takes out a request together with the attempt of this number, which has ended, and counts it
-    /// if it stalled; none, and no change, if that attempt is not in flight.
-    pub(crate) fn take_ended(&mut self, id: RequestId, attempt: u32) -> Option<EndedAttempt> {
+    /// Removes a request whose attempt with this number has ended, and returns both. Counts the
+    /// attempt if it stalled. Returns `None` and changes nothing if the attempt is not in flight.
+    pub(crate) fn take_ended_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+    ) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id)?;
-        let in_flight = &mut request.in_flight;
+        let in_flight = &mut request.attempt_in_flight;
         let attempt = in_flight.take_if(|in_flight| in_flight.number == attempt)?;
-        request.stalls += u32::from(attempt.stalled);
+        request.stalled_attempts += u32::from(attempt.stalled);
         let request = self.requests.remove(&id)?;
         Some(EndedAttempt { request, attempt })
     }
 
-    /// Removes a request.
+    /// Removes and returns a request. Returns `None` if it is not in the table.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         self.requests.remove(&id)
     }
 
-    /// All requests.
+    /// Iterates over all requests with their ids.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (RequestId, &mut RequestState)> {
         self.requests.iter_mut().map(|(id, request)| (*id, request))
     }
 
-    /// All attempts in flight, each with its request.
-    pub(crate) fn in_flight(&self) -> impl Iterator<Item = (&RequestState, &InFlightAttempt)> {
+    /// Iterates over all attempts in flight, each with its request.
+    pub(crate) fn attempts_in_flight(
+        &self,
+    ) -> impl Iterator<Item = (&RequestState, &InFlightAttempt)> {
         let requests = self.requests.values();
-        requests.filter_map(|request| Some((request, request.in_flight.as_ref()?)))
+        requests.filter_map(|request| Some((request, request.attempt_in_flight.as_ref()?)))
     }
 
-    /// The attempts past their expected latency, by each one's server and source. `chance` gives
-    /// the chance that an innocent cause explains one attempt.
-    pub(crate) fn late_by_server(
+    /// Returns the late attempts by server. An attempt counts for its server and for its fill
+    /// source. `benign_cause_chance` returns the chance, from 0 to 1, that one attempt is late for
+    /// a reason other than a failure of the server.
+    pub(crate) fn late_attempts_by_server(
         &self,
         now: Micros,
-        chance: impl Fn(&InFlightAttempt) -> f64,
+        benign_cause_chance: impl Fn(&InFlightAttempt) -> f64,
     ) -> BTreeMap<ServerId, LateAttempts> {
         let mut late = BTreeMap::new();
-        let in_flight = self.in_flight().map(|(_, attempt)| attempt);
+        let in_flight = self.attempts_in_flight().map(|(_, attempt)| attempt);
         for attempt in in_flight.filter(|attempt| attempt.expected_by < now) {
-            let chance = chance(attempt);
-            for server in attempt.servers() {
+            let chance = benign_cause_chance(attempt);
+            for server in attempt.server_and_fill_source() {
                 let entry = late.entry(server).or_insert(LateAttempts {
-                    chance: 1.0,
+                    benign_cause_chance: 1.0,
                     first_sent_at: attempt.sent_at,
                 });
-                entry.chance *= chance;
+                entry.benign_cause_chance *= chance;
                 entry.first_sent_at = entry.first_sent_at.min(attempt.sent_at);
             }
         }
@@ -275,17 +293,18 @@
     }
 
     /// Records that an attempt of a request was sent.
-    pub(crate) fn attempt_sent(&mut self, id: RequestId, attempt: InFlightAttempt) {
+    pub(crate) fn record_attempt_sent(&mut self, id: RequestId, attempt: InFlightAttempt) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.attempts += 1;
-            request.in_flight = Some(attempt);
+            request.attempts_sent += 1;
+            request.attempt_in_flight = Some(attempt);
         }
     }
 
-    /// Records that the streamed answer of an attempt has begun, if that attempt is in flight.
-    pub(crate) fn stream_started(&mut self, id: RequestId, attempt: u32) {
+    /// Records that the streamed answer of an attempt has begun. Ignores attempts that are not in
+    /// flight.
+    pub(crate) fn record_stream_started(&mut self, id: RequestId, attempt: u32) {
         if let Some(request) = self.requests.get_mut(&id) {
-            let in_flight = request.in_flight.as_ref();
+            let in_flight = request.attempt_in_flight.as_ref();
             request.stream_started |= in_flight.is_some_and(|found| found.number == attempt);
         }
     }
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -1,95 +1,99 @@
-//! The servers of the endpoint list, and what the router has seen of each.
+//! The servers of the endpoint list, with what the router has observed of each.
 
-use super::{FirstRun, InFlightAttempt};
-use crate::estimate::{rendezvous, FleetLoad, TransferPace};
+use super::{FirstPossibleExecution, InFlightAttempt};
+use crate::estimate::{rendezvous, SharedLoadEstimate, TransferPace};
 use crate::event::{Endpoint, EndpointListMode, EndpointState, RequestId, ServerId};
 use crate::settings::{Micros, Settings, WarmUp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a server is to this router.
+/// The role of a server for this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// A cache of the router's own location.
+    /// A cache server of the router's own location.
     Cache,
-    /// A parent, which fills caches.
+    /// A parent, which fills cache servers.
     Parent,
-    /// The origin.
+    /// The origin server.
     Origin,
 }
 
 impl Role {
-    /// The role of a server by its kind and the index of its zone. A cache of another location has
-    /// none: it takes no requests of this one.
-    fn of(kind: &str, zone: Option<usize>, settings: &Settings) -> Option<Role> {
+    /// Returns the role of a server of this kind in the zone with this index. Returns `None` for a
+    /// cache server of another location, which takes no requests from this location.
+    fn of(kind: &str, zone_index: Option<usize>, settings: &Settings) -> Option<Role> {
         if settings.parent_kind.as_deref() == Some(kind) {
             Some(Role::Parent)
         } else if settings.origin_kind == kind {
             Some(Role::Origin)
         } else {
-            (zone == Some(settings.zone)).then_some(Role::Cache)
+            (zone_index == Some(settings.zone)).then_some(Role::Cache)
         }
     }
 }
 
-/// Work that was sent to a server.
+/// A transfer that is charged to the slow-start budget of a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Charge {
-    /// When.
-    pub(crate) at: Micros,
-    /// Transfer time of the work in seconds.
+    /// When the attempt was sent.
+    pub(crate) sent_at: Micros,
+    /// The transfer time in seconds.
     pub(crate) transfer_s: f64,
-    /// The request that it was sent for.
+    /// The request of the attempt.
     pub(crate) request: RequestId,
 }
 
-/// A server, and what the router has seen of it.
+/// A server, with what the router has observed of it.
 #[derive(Debug)]
 pub(crate) struct ServerState {
-    /// Its id.
+    /// The id of the server.
     pub(crate) id: ServerId,
-    /// What it is to this router.
+    /// The role of the server for this router.
     pub(crate) role: Role,
-    /// Index of its zone in the settings; none: not one of them.
-    pub(crate) zone: Option<usize>,
-    /// The limits that hold for it after its start.
+    /// The index of the server's zone in the settings. `None` if the settings do not have the zone.
+    pub(crate) zone_index: Option<usize>,
+    /// The limits that hold for the server while it is warming up.
     pub(crate) warm_up: WarmUp,
-    /// Its cell: servers that share which idempotency keys they have seen.
+    /// The cell of the server. The servers of a cell share the idempotency keys that they have
+    /// seen.
     pub(crate) cell: u64,
-    /// Its weight in the endpoint list; 1 if that is not a positive number.
+    /// The weight of the server in the endpoint list, or 1 if that is not a positive finite number.
     pub(crate) weight: f64,
-    /// Where it is in its life.
+    /// The state of the server in the endpoint list.
     pub(crate) lifecycle: EndpointState,
-    /// When its process started; none: long ago.
+    /// When the process of the server started. `None` if that was long ago.
     pub(crate) started_at: Option<Micros>,
-    /// The last connection to it failed, and it has served nothing since.
+    /// The last connection to the server failed, and the server has served nothing since.
     pub(crate) unreachable: bool,
-    /// When it served a request again after it had been unreachable.
+    /// When the server last recovered: it served a request after it had been unreachable. `None`
+    /// if it never recovered.
     pub(crate) recovered_at: Option<Micros>,
-    /// Moving average of the attempts that failed by its fault, from 0 to 1.
+    /// The moving average, from 0 to 1, of the share of attempts that failed through the fault of
+    /// the server.
     pub(crate) failure_rate: f64,
-    /// It is ejected until then.
+    /// When the current or last ejection of the server ends. 0 if it was never ejected.
     pub(crate) ejected_until: Micros,
-    /// Ejections since it last served a request while it was not ejected.
+    /// The number of ejections since the server last served a request while it was not ejected.
     pub(crate) consecutive_ejections: u32,
-    /// A single request finds out whether it works again.
+    /// A half-open probe is in flight: a single request that shows whether the server works again.
     pub(crate) half_open_probe_in_flight: bool,
-    /// When it last served a request or filled a copy.
+    /// When the server last served a request or filled a copy. 0 if it never did.
     pub(crate) last_success_at: Micros,
-    /// When a connection to it last broke.
+    /// When a connection to the server last broke. 0 if none did.
     pub(crate) last_reset_at: Micros,
-    /// Transfers in flight at it.
-    pub(crate) in_flight: FleetLoad,
-    /// Pace of its recent cache hits.
-    pub(crate) hits: TransferPace,
-    /// Pace of recent fills from it, where the size was known.
-    pub(crate) fills: TransferPace,
-    /// Work that was sent to it recently, oldest first.
+    /// An estimate of the transfers in flight at the server.
+    pub(crate) transfers_in_flight: SharedLoadEstimate,
+    /// The pace of recent cache hits at the server.
+    pub(crate) hit_pace: TransferPace,
+    /// The pace of recent fills from the server whose size was known.
+    pub(crate) fill_pace: TransferPace,
+    /// The transfers that were recently charged to the server, oldest first.
     pub(crate) charges: VecDeque<Charge>,
 }
 
 impl ServerState {
-    /// Share of its capacity, from 0 to 1, that it is sure to have at a time: it grows in a line
-    /// from its start, or from its recovery if it was unreachable.
+    /// Returns the share of its capacity, from 0 to 1, that the server is certain to have at a
+    /// time. The share grows linearly from the start of the server, or from its recovery if it was
+    /// unreachable.
     pub(crate) fn warm_up_fraction(&self, at: Micros) -> f64 {
         let WarmUp {
             initial_share,
@@ -102,78 +106,82 @@
         (initial_share + grown).min(1.0)
     }
 
-    /// Whether it is not sure to have its full capacity yet.
+    /// Returns whether the server may not have its full capacity yet.
     pub(crate) fn is_warming_up(&self, now: Micros) -> bool {
         self.warm_up_fraction(now) < 1.0
     }
 
-    /// Transfer time in seconds of the work that was sent to it from `since` on.
-    pub(crate) fn charged_s(&self, since: Micros) -> f64 {
-        let charges = self.charges.iter().filter(|charge| charge.at >= since);
+    /// Returns the total transfer time in seconds that was charged to the server from `since` on.
+    pub(crate) fn charged_transfer_s(&self, since: Micros) -> f64 {
+        let charges = self.charges.iter().filter(|charge| charge.sent_at >= since);
         charges.map(|charge| charge.transfer_s).sum()
     }
 
-    /// Forgets the work that was sent before `since`.
+    /// Removes the charges from before `since`.
     pub(crate) fn drop_charges_before(&mut self, since: Micros) {
-        while self.charges.front().is_some_and(|charge| charge.at < since) {
+        while self
+            .charges
+            .front()
+            .is_some_and(|charge| charge.sent_at < since)
+        {
             self.charges.pop_front();
         }
     }
 }
 
-/// A server to send a request to, and the source of its fill if a miss may be filled.
+/// The server to send a request to, and the fill source for a miss.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Target {
-    /// The server.
+    /// The server to send the request to.
     pub(crate) server: ServerId,
-    /// The source of its fill; none: a miss is not filled.
-    pub(crate) source: Option<ServerId>,
+    /// The server that a miss is filled from. `None` if a miss is not filled.
+    pub(crate) fill_source: Option<ServerId>,
 }
 
 impl Target {
-    /// This server, with this source.
-    pub(crate) fn new(server: &ServerState, source: Option<&ServerState>) -> Self {
+    /// Creates a target from a server and a fill source.
+    pub(crate) fn new(server: &ServerState, fill_source: Option<&ServerState>) -> Self {
         Target {
             server: server.id,
-            source: source.map(|source| source.id),
+            fill_source: fill_source.map(|fill_source| fill_source.id),
         }
     }
 }
 
-/// The ready servers in the order that all routers share for a key.
+/// The ready servers in their rendezvous order for a key, which is the same in all routers.
 pub(crate) struct RankedServers<'a> {
-    /// The caches of the location.
+    /// The cache servers of the location.
     pub(crate) caches: Vec<&'a ServerState>,
     /// The parents.
     pub(crate) parents: Vec<&'a ServerState>,
-    /// The first of the origins, if there is one.
+    /// The first origin, or `None` if no origin is ready.
     pub(crate) origin: Option<&'a ServerState>,
 }
 
-/// The servers of the endpoint list, in the order of their ids.
+/// The servers of the endpoint list, ordered by id.
 pub(crate) struct ServerTable {
     servers: BTreeMap<ServerId, ServerState>,
-    /// Ids of the ready servers: caches, parents, origins.
-    ready: [Vec<ServerId>; 3],
-    /// How many caches there are, ready or not.
-    caches: usize,
-    no_pace: TransferPace,
-    no_load: FleetLoad,
+    /// The ids of the ready servers, indexed by [`Role`].
+    ready_ids: [Vec<ServerId>; 3],
+    /// The number of cache servers, ready or not.
+    cache_count: usize,
+    initial_pace: TransferPace,
+    initial_load: SharedLoadEstimate,
 }
 
 impl ServerTable {
-    /// An empty table; each new server starts with these estimates.
-    pub(crate) fn new(no_pace: TransferPace, no_load: FleetLoad) -> Self {
+    /// Creates an empty table. Each new server starts with these estimates.
+    pub(crate) fn new(initial_pace: TransferPace, initial_load: SharedLoadEstimate) -> Self {
         ServerTable {
             servers: BTreeMap::new(),
-            ready: Default::default(),
-            caches: 0,
-            no_pace,
-            no_load,
+            ready_ids: Default::default(),
+            cache_count: 0,
+            initial_pace,
+            initial_load,
         }
     }
 
-    /// Takes in the endpoint list or changes to it; endpoints without a role are ignored.
+    /// Applies the endpoint list or changes to it. Ignores endpoints without a role.
     pub(crate) fn update(
         &mut self,
         mode: EndpointListMode,
@@ -188,24 +196,24 @@
             }
         }
         for endpoint in endpoints {
-            let zone = settings.zone_index(&endpoint.zone);
-            if let Some(role) = Role::of(&endpoint.kind, zone, settings) {
-                self.update_server(self.fresh(&endpoint, role, zone, settings));
+            let zone_index = settings.zone_index(&endpoint.zone);
+            if let Some(role) = Role::of(&endpoint.kind, zone_index, settings) {
+                self.update_server(self.new_server(&endpoint, role, zone_index, settings));
             }
         }
-        // A server that comes back has a new id; the old one is kept only for its attempts in
-        // flight.
+        // A server that returns gets a new id. The entry of the old id is kept only while it has
+        // attempts in flight.
         self.servers.retain(|_, server| {
-            server.lifecycle != EndpointState::Gone || server.in_flight.own() > 0.0
+            server.lifecycle != EndpointState::Gone || server.transfers_in_flight.own() > 0.0
         });
-        self.ready = [Role::Cache, Role::Parent, Role::Origin].map(|role| {
+        self.ready_ids = [Role::Cache, Role::Parent, Role::Origin].map(|role| {
             let ready = self.servers.iter().filter(|(_, server)| {
                 server.role == role && server.lifecycle == EndpointState::Ready
             });
             ready.map(|(id, _)| *id).collect()
         });
         let servers = self.servers.values();
-        self.caches = servers.filter(|server| server.role == Role::Cache).count();
+        self.cache_count = servers.filter(|server| server.role == Role::Cache).count();
     }
 
     fn update_server(&mut self, listed: ServerState) {
@@ -214,13 +222,13 @@
             ready && server.started_at != listed.started_at
         };
         match self.servers.get_mut(&listed.id) {
-            // What was seen of the old process says nothing of the new one, but attempts stay in
-            // flight.
+            // Observations of the old process do not apply to the new one. Attempts in flight and
+            // charges remain.
             Some(server) if restarted(server) => {
-                let in_flight = server.in_flight.own();
+                let transfers_in_flight = server.transfers_in_flight.own();
                 let charges = std::mem::take(&mut server.charges);
                 *server = ServerState { charges, ..listed };
-                server.in_flight.set(in_flight);
+                server.transfers_in_flight.set_own(transfers_in_flight);
             }
             Some(server) => {
                 server.lifecycle = listed.lifecycle;
@@ -232,19 +240,19 @@
         }
     }
 
-    /// A server of which nothing was seen yet.
-    fn fresh(
+    /// Creates the state of a server of which nothing has been observed.
+    fn new_server(
         &self,
         endpoint: &Endpoint,
         role: Role,
-        zone: Option<usize>,
+        zone_index: Option<usize>,
         settings: &Settings,
     ) -> ServerState {
         let weight_usable = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         ServerState {
             id: endpoint.id,
             role,
-            zone,
+            zone_index,
             warm_up: match role {
                 Role::Parent => settings.parent_warm_up(),
                 Role::Cache | Role::Origin => settings.cache_warm_up(),
@@ -261,84 +269,89 @@
             half_open_probe_in_flight: false,
             last_success_at: 0,
             last_reset_at: 0,
-            in_flight: self.no_load,
-            hits: self.no_pace,
-            fills: self.no_pace,
+            transfers_in_flight: self.initial_load,
+            hit_pace: self.initial_pace,
+            fill_pace: self.initial_pace,
             charges: VecDeque::new(),
         }
     }
 
-    /// The server of this id.
+    /// Returns the server with this id, or `None` if it is not in the table.
     pub(crate) fn get(&self, id: ServerId) -> Option<&ServerState> {
         self.servers.get(&id)
     }
 
-    /// Whether a server is in the table and available.
+    /// Returns whether a server is in the table and available.
     pub(crate) fn is_available(&self, id: ServerId, now: Micros) -> bool {
         self.get(id).is_some_and(|server| server.is_available(now))
     }
 
-    /// Records that an attempt was sent for a request; the server and the source of its fill are
-    /// charged for a transfer of `transfer_s` seconds.
-    pub(crate) fn attempt_sent(
+    /// Records that an attempt was sent for a request. Charges a transfer of `transfer_s` seconds
+    /// to the server and to the fill source.
+    pub(crate) fn record_attempt_sent(
         &mut self,
         request: RequestId,
         attempt: &InFlightAttempt,
         transfer_s: f64,
     ) {
         let charge = Charge {
-            at: attempt.sent_at,
+            sent_at: attempt.sent_at,
             transfer_s,
             request,
         };
-        for id in attempt.servers() {
+        for id in attempt.server_and_fill_source() {
             self.change(id, |server| {
                 server.charges.push_back(charge);
                 server.half_open_probe_in_flight = server.consecutive_ejections > 0;
             });
         }
-        self.change(attempt.server, |server| server.in_flight.add(1.0));
+        self.change(attempt.server, |server| {
+            server.transfers_in_flight.add_to_own(1.0)
+        });
     }
 
-    /// Records that a server could not be reached.
-    pub(crate) fn connection_failed(&mut self, id: ServerId) {
+    /// Records that no connection to a server could be made.
+    pub(crate) fn record_connection_failure(&mut self, id: ServerId) {
         self.change(id, |server| server.unreachable = true);
     }
 
-    /// Records that a connection to a server broke; `false` if one did at this very time already.
-    pub(crate) fn connection_reset(&mut self, id: ServerId, now: Micros) -> bool {
+    /// Records that a connection to a server broke. Returns `false` if a break at the same time was
+    /// already recorded.
+    pub(crate) fn record_connection_reset(&mut self, id: ServerId, now: Micros) -> bool {
         let server = self.servers.get_mut(&id);
         let last = server.map(|server| std::mem::replace(&mut server.last_reset_at, now));
         last != Some(now)
     }
 
-    /// Records that a request was not sent on to the source of its fill.
-    pub(crate) fn uncharge(&mut self, source: ServerId, request: RequestId) {
-        self.change(source, |server| {
+    /// Removes the charges of a request from its fill source, which did not receive the request.
+    pub(crate) fn cancel_charge(&mut self, fill_source: ServerId, request: RequestId) {
+        self.change(fill_source, |server| {
             server.charges.retain(|charge| charge.request != request);
         });
     }
 
-    /// Records that an attempt ended. However it did, a half-open probe is over: else nothing might
-    /// ever end it.
-    pub(crate) fn attempt_ended(&mut self, attempt: &InFlightAttempt) {
-        self.change(attempt.server, |server| server.in_flight.add(-1.0));
-        for id in attempt.servers() {
+    /// Records that an attempt ended. Ends a half-open probe whatever the outcome of the attempt,
+    /// because some outcomes say nothing about the server and the probe would never end otherwise.
+    pub(crate) fn record_attempt_ended(&mut self, attempt: &InFlightAttempt) {
+        self.change(attempt.server, |server| {
+            server.transfers_in_flight.add_to_own(-1.0)
+        });
+        for id in attempt.server_and_fill_source() {
             self.change(id, |server| server.half_open_probe_in_flight = false);
         }
     }
 
-    /// Takes the load of all servers into their averages, and forgets the work that was sent to
-    /// them before `since`.
+    /// Adds the current load of each server to its average over time, and removes the charges from
+    /// before `since`.
     pub(crate) fn sweep(&mut self, since: Micros) {
         for server in self.servers.values_mut() {
-            server.in_flight.sample();
+            server.transfers_in_flight.sample();
             server.drop_charges_before(since);
         }
     }
 
-    /// The starts of all servers turn out to lie further back.
-    pub(crate) fn move_starts_back(&mut self, by_us: Micros) {
+    /// Moves the start times of all servers back by `by_us` microseconds.
+    pub(crate) fn move_start_times_back(&mut self, by_us: Micros) {
         for server in self.servers.values_mut() {
             if let Some(started_at) = &mut server.started_at {
                 *started_at = started_at.saturating_sub(by_us);
@@ -346,18 +359,18 @@
         }
     }
 
-    /// Changes the server of this id, if there is one.
+    /// Calls `change` with the server with this id. Does nothing if it is not in the table.
     pub(crate) fn change(&mut self, id: ServerId, change: impl FnOnce(&mut ServerState)) {
         if let Some(server) = self.servers.get_mut(&id) {
             change(server);
         }
     }
 
-    /// The ready servers in the order of their rendezvous scores for a key, which their weights are
-    /// a part of or not.
+    /// Returns the ready servers in the order of their rendezvous scores for a key. If `weighted`,
+    /// the scores include the weights of the servers.
     pub(crate) fn ranked(&self, key: u64, weighted: bool) -> RankedServers<'_> {
         let rank = |role: Role| {
-            let ready = self.ready[role as usize].iter();
+            let ready = self.ready_ids[role as usize].iter();
             let servers = ready.filter_map(|id| self.servers.get(id));
             rendezvous::rank(key, servers, |server| {
                 (server.id, if weighted { server.weight } else { 1.0 })
@@ -370,22 +383,25 @@
         }
     }
 
-    /// How many caches of the location there are, ready or not.
-    pub(crate) fn caches(&self) -> usize {
-        self.caches
+    /// Returns the number of cache servers of the location, ready or not.
+    pub(crate) fn cache_count(&self) -> usize {
+        self.cache_count
     }
 
-    /// An attempt that was sent to a server, as the first that may have taken effect.
-    pub(crate) fn first_run(&self, attempt: &InFlightAttempt) -> FirstRun {
+    /// Describes an attempt as the first one of its request that a server may have executed.
+    pub(crate) fn first_possible_execution(
+        &self,
+        attempt: &InFlightAttempt,
+    ) -> FirstPossibleExecution {
         let server = self.get(attempt.server);
-        FirstRun {
+        FirstPossibleExecution {
             sent_at: attempt.sent_at,
-            zone: server.and_then(|server| server.zone),
+            zone_index: server.and_then(|server| server.zone_index),
             cell: server.map_or(u64::MAX, |server| server.cell),
         }
     }
 
-    /// Whether a server has served a request or filled a copy after `since`.
+    /// Returns whether a server has served a request or filled a copy after `since`.
     pub(crate) fn succeeded_since(&self, id: ServerId, since: Micros) -> bool {
         self.get(id)
             .is_some_and(|server| server.last_success_at > since)
