--- a/crates/routing/tests/cancellation.rs
+++ b/crates/routing/tests/cancellation.rs
@@ -1,43 +1,46 @@
-//! Which attempts in flight are cancelled: those at an unresponsive server, stalled ones, and those
-//! of clients that have disconnected.
+//! Cancellation of attempts in flight: attempts at an unresponsive server, stalled attempts, and
+//! attempts of clients that have disconnected.
 
 mod support;
 use edge_routing::*;
 use support::*;
 
-/// Longer than an attempt may take that is neither a fill for certain nor slow for its class.
-const PAST_THE_EXPECTED_LATENCY: Micros = SECOND;
+/// A time after which an attempt is late for its class. Only an attempt that certainly waits for a
+/// fill may take longer.
+const PAST_EXPECTED_LATENCY_US: Micros = SECOND_US;
 
-/// The cancellations once six requests for one object have waited too long after this purge.
+/// Returns the cancellations when six requests for one object are late after this purge.
 fn cancellations_after_purge(purge: Event) -> Vec<Action> {
     let mut harness = Harness::with_defaults();
     harness.handle(purge);
     for _ in 0..6 {
         harness.forward(VIDEO, "/o/1");
     }
-    harness.cancellations_after(PAST_THE_EXPECTED_LATENCY)
+    harness.cancellations_after(PAST_EXPECTED_LATENCY_US)
 }
 
+/// Guards against the ejection of working cache servers after the purge of a group: all attempts
+/// wait for the origin, and retries would only add fills.
 #[test]
-fn slow_fills_after_a_group_purge_are_no_sign_of_an_unresponsive_server() {
-    const PURGE_AGE: Micros = 100 * MILLISECOND;
+fn slow_fills_after_a_group_purge_do_not_count_as_an_unresponsive_server() {
+    const PURGE_AGE_US: Micros = 100 * MILLISECOND_US;
     assert_eq!(
-        cancellations_after_purge(group_purge(GROUP, PURGE_AGE)),
+        cancellations_after_purge(group_purge(GROUP, PURGE_AGE_US)),
         [],
-        "every copy was purged: the attempts wait for the origin"
+        "every copy was purged, so the attempts wait for the origin"
     );
     assert!(
-        !cancellations_after_purge(group_purge(OTHER_GROUP, PURGE_AGE)).is_empty(),
-        "copies of this group should have been found"
+        !cancellations_after_purge(group_purge(OTHER_GROUP, PURGE_AGE_US)).is_empty(),
+        "the copies of this group were not purged, so late attempts are suspicious"
     );
     assert!(
-        !cancellations_after_purge(object_purge("/o/1", PURGE_AGE)).is_empty(),
-        "one object is filled again at once, by the first request for it"
+        !cancellations_after_purge(object_purge("/o/1", PURGE_AGE_US)).is_empty(),
+        "the first request for a single purged object fills it again at once"
     );
 }
 
-/// The cancellations once requests for six objects have waited too long, where all cache servers
-/// have started at this time.
+/// Returns the cancellations when requests for six objects are late and all cache servers started
+/// at this time.
 fn cancellations_with_cache_servers_started(started: Micros) -> Vec<Action> {
     let mut endpoints = fleet();
     for endpoint in &mut endpoints {
@@ -49,21 +52,25 @@
     for index in 0..6 {
         harness.submit(VIDEO, &format!("/o/{index}"));
     }
-    harness.cancellations_after(PAST_THE_EXPECTED_LATENCY)
+    harness.cancellations_after(PAST_EXPECTED_LATENCY_US)
 }
 
+/// Guards against the ejection of cache servers that have just started: they have no copies, so
+/// every attempt waits for a fill.
 #[test]
-fn slow_fills_of_cache_servers_that_started_empty_are_no_sign_of_unresponsive_servers() {
-    let warming_up = START_TIME - 3 * SECOND;
-    let warm = START_TIME - 30 * SECOND;
+fn slow_fills_of_cache_servers_that_started_empty_do_not_count_as_unresponsive_servers() {
+    let warming_up = START_TIME_US - 3 * SECOND_US;
+    let warm = START_TIME_US - 30 * SECOND_US;
     assert_eq!(
         cancellations_with_cache_servers_started(warming_up),
         [],
-        "they have no copies yet"
+        "the cache servers have no copies yet"
     );
     assert!(!cancellations_with_cache_servers_started(warm).is_empty());
 }
 
+/// Guards against attempts that wait at a server that hangs until their clients give up: a hanging
+/// server reports no failure.
 #[test]
 fn attempts_at_an_unresponsive_server_are_cancelled_and_retried_elsewhere() {
     let unresponsive = CACHE_SERVERS[1];
@@ -79,119 +86,131 @@
     }
     assert!(unanswered.len() >= 2);
 
-    let cancelled = harness.cancellations_after(PAST_THE_EXPECTED_LATENCY);
+    let cancelled = harness.cancellations_after(PAST_EXPECTED_LATENCY_US);
     let expected: Vec<Action> = unanswered.iter().map(Attempt::cancellation).collect();
     assert_eq!(cancelled, expected);
 
     for attempt in &unanswered {
-        let retry = harness.retry(attempt, Outcome::Cancelled).expect("a retry");
+        let retry = harness
+            .retry(attempt, Outcome::Cancelled)
+            .expect("the attempt is retried");
         assert_ne!(retry.server, unresponsive);
     }
     assert!(!harness.servers_of_objects(40).contains(&unresponsive));
 }
 
+/// Guards against a fill at a second cache server when only one answer was lost, and against
+/// retries of a large object that stall again before it can be transferred.
 #[test]
 fn a_stalled_attempt_is_retried_at_the_same_server_while_it_answers_others() {
-    const STEP: Micros = 100 * MILLISECOND;
+    const STEP_US: Micros = 100 * MILLISECOND_US;
     let mut harness = Harness::with_defaults();
     let stalled = harness.forward(VIDEO, "/o/a");
     let mut cancelled = Vec::new();
     for index in 0..40 {
-        harness.advance(STEP);
-        // The same cache server goes on answering others.
+        harness.advance(STEP_US);
+        // The same cache server continues to answer other requests.
         harness.serve_hit(PAGE, &format!("/o/{index}"));
         cancelled.extend(cancellations(harness.sweep()));
     }
     assert_eq!(cancelled, [stalled.cancellation()]);
     let retry = harness
         .retry(&stalled, Outcome::Cancelled)
-        .expect("a retry");
+        .expect("the attempt is retried");
     assert_eq!(
         retry.server, stalled.server,
-        "the request ran there, so the copy is there"
+        "the server executed the request, so it has a copy"
     );
 
-    // Stalled a second time, it is given more time.
-    const MOST_STEPS: usize = 200;
+    // The time until the second attempt stalls is longer.
+    const MAX_STEPS: usize = 200;
     const STEPS_OF_FIRST_ATTEMPT: usize = 20;
     let mut cancelled = Vec::new();
     let mut steps = 0;
-    while cancelled.is_empty() && steps < MOST_STEPS {
-        cancelled = harness.cancellations_after(STEP);
+    while cancelled.is_empty() && steps < MAX_STEPS {
+        cancelled = harness.cancellations_after(STEP_US);
         steps += 1;
     }
     assert_eq!(cancelled, [retry.cancellation()]);
     assert!(
         steps > STEPS_OF_FIRST_ATTEMPT,
-        "longer than the first attempt: {steps} steps"
+        "the second attempt stalled after {steps} steps, not later than the first one"
     );
 }
 
+/// Guards against a slow origin whose fills are all cancelled and restarted: if only answers
+/// counted, cancelling the slow attempts would lower the latency that counts as slow.
 #[test]
-fn a_cancelled_slow_attempt_raises_the_expected_latency_of_later_ones() {
-    const LONG_DEADLINE: Micros = 60 * SECOND;
+fn a_cancelled_slow_attempt_raises_the_expected_latency_of_later_attempts() {
+    const LONG_CLIENT_TIMEOUT_US: Micros = 60 * SECOND_US;
     const ROUNDS: usize = 4;
     let mut harness = Harness::with_defaults();
-    let mut times_to_cancellation = Vec::new();
+    let mut times_to_cancellation_us = Vec::new();
     for round in 0..ROUNDS {
         let object = format!("/o/{round}");
         let request = Request {
-            remaining_us: LONG_DEADLINE,
+            remaining_us: LONG_CLIENT_TIMEOUT_US,
             ..harness.next_request(VIDEO, &object)
         };
         let submission = harness.submit_request(request);
-        let slow = submission.attempt().expect("an attempt");
+        let slow = submission.attempt().expect("the request is forwarded");
         let start = harness.now;
 
-        // Its server answers others meanwhile, so the server is not unresponsive.
-        harness.advance(100 * MILLISECOND);
+        // The server answers another request meanwhile, so it is not unresponsive.
+        harness.advance(100 * MILLISECOND_US);
         let other = harness.serve_hit(VIDEO, &object);
         assert_eq!(other.server, slow.server);
 
         while !harness.sweep().contains(&slow.cancellation()) {
-            harness.advance(50 * MILLISECOND);
+            harness.advance(50 * MILLISECOND_US);
         }
-        times_to_cancellation.push(harness.now - start);
-        let retry = harness.retry(&slow, Outcome::Cancelled).expect("a retry");
+        times_to_cancellation_us.push(harness.now - start);
+        let retry = harness
+            .retry(&slow, Outcome::Cancelled)
+            .expect("the attempt is retried");
         harness.finish_as_hit(&retry);
     }
     assert!(
-        times_to_cancellation.is_sorted(),
-        "{times_to_cancellation:?}"
+        times_to_cancellation_us.is_sorted(),
+        "the times to cancellation are not ascending: {times_to_cancellation_us:?}"
     );
     assert!(
-        times_to_cancellation[ROUNDS - 1] > times_to_cancellation[0] * 4 / 3,
-        "{times_to_cancellation:?}"
+        times_to_cancellation_us[ROUNDS - 1] > times_to_cancellation_us[0] * 4 / 3,
+        "the times to cancellation do not grow by a third: {times_to_cancellation_us:?}"
     );
 }
 
-/// A router that was notified ten seconds ago that another group was purged.
+/// Returns a router that was notified ten seconds ago of the purge of another group.
 fn harness_after_group_purge() -> Harness {
     let mut harness = Harness::with_defaults();
-    harness.handle(group_purge(OTHER_GROUP, 100 * MILLISECOND));
-    harness.advance(10 * SECOND);
+    harness.handle(group_purge(OTHER_GROUP, 100 * MILLISECOND_US));
+    harness.advance(10 * SECOND_US);
     harness
 }
 
-/// The cancellations once requests for six objects have waited for a time within the usual latency.
+/// Returns the cancellations when requests for six objects have waited for a time that is not slow
+/// for their class.
 ///
-/// Nothing has been answered yet, and until something has, the usual latency is taken to be 0.9 s.
-fn cancellations_within_usual_latency(mut harness: Harness) -> Vec<Action> {
+/// The router assumes until the first answer that an answer is slow from about 0.9 s.
+fn cancellations_before_slow_latency(mut harness: Harness) -> Vec<Action> {
     for index in 0..6 {
         harness.forward(VIDEO, &format!("/o/{index}"));
     }
-    harness.cancellations_after(700 * MILLISECOND)
+    harness.cancellations_after(700 * MILLISECOND_US)
 }
 
+/// Guards against cancellations while the parts of a purged group are filled again: requests for
+/// other groups wait for the origin as well then.
 #[test]
-fn after_a_group_purge_attempts_within_the_usual_latency_are_not_cancelled() {
+fn after_a_group_purge_attempts_that_are_not_slow_for_their_class_are_not_cancelled() {
     assert_eq!(
-        cancellations_within_usual_latency(harness_after_group_purge()),
+        cancellations_before_slow_latency(harness_after_group_purge()),
         []
     );
-    assert!(!cancellations_within_usual_latency(Harness::with_defaults()).is_empty());
+    assert!(!cancellations_before_slow_latency(Harness::with_defaults()).is_empty());
 }
 
+/// Guards against transfers that occupy a link although no client waits for them.
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     let mut harness = Harness::with_defaults();
@@ -203,10 +222,12 @@
     assert_eq!(
         harness.finish(&attempt, Outcome::Cancelled),
         [],
-        "no final answer is owed any more"
+        "a client that has disconnected gets no final answer"
     );
 }
 
+/// Guards against the interruption of a stream whose client already receives it: a stream may take
+/// longer than any answer.
 #[test]
 fn a_started_stream_is_not_cancelled() {
     let mut harness = Harness::with_defaults();
@@ -215,5 +236,5 @@
         request: attempt.request,
         attempt: attempt.number,
     });
-    assert_eq!(harness.cancellations_after(20 * SECOND), []);
+    assert_eq!(harness.cancellations_after(20 * SECOND_US), []);
 }
--- a/crates/routing/tests/determinism.rs
+++ b/crates/routing/tests/determinism.rs
@@ -1,33 +1,34 @@
-//! Equal events give equal actions, whatever else a process or an endpoint list holds.
+//! Determinism: equal events give equal actions. Other routers in the process and the order of the
+//! endpoint list make no difference.
 
 mod support;
 use edge_routing::*;
 use support::*;
 
-/// Steps of the script in [`run_step`].
-const STEPS: u64 = 500;
-/// The seeds of two routers that are given different scripts.
+/// The number of steps of the script in [`run_step`].
+const STEP_COUNT: u64 = 500;
+/// The seeds of two routers, which also select their scripts.
 const SEEDS: [u64; 2] = [1, 2];
 
-/// A router with the settings and the fleet of the tests.
+/// Creates a router with the shared settings and fleet.
 fn new_router(seed: u64) -> Router {
-    router_with_endpoints(settings(), seed, START_TIME, fleet())
+    router_with_endpoints(settings(), seed, START_TIME_US, fleet())
 }
 
-/// Runs a step of a script that varies with the seed: a request, for most of them the end of its
-/// attempt, and at times a sweep. Returns all actions.
+/// Runs a step of a script that depends on the seed, and returns all actions. Each step has a
+/// request. Three of four steps also end its attempt, and every tenth step has a sweep.
 fn run_step(router: &mut Router, seed: u64, step: u64) -> Vec<Action> {
-    const STEP_INTERVAL: Micros = 7 * MILLISECOND;
+    const STEP_INTERVAL_US: Micros = 7 * MILLISECOND_US;
     const OBJECTS: u64 = 17;
     const PARTS: u64 = 5;
-    let now = START_TIME + step * STEP_INTERVAL;
+    let now = START_TIME_US + step * STEP_INTERVAL_US;
     let class = if step % 3 == 0 { PAGE } else { VIDEO };
     let object = format!("/o/{}", (step * step + seed) % OBJECTS);
     let request = Request {
         part: step % PARTS,
         group: 1,
         size_kb: 300.0,
-        remaining_us: 3 * SECOND,
+        remaining_us: 3 * SECOND_US,
         ..request(step + 1, class, &object)
     };
     let mut actions = Vec::new();
@@ -40,33 +41,39 @@
             Outcome::Ok
         };
         let report = AttemptReport {
-            took_us: 50 * MILLISECOND,
+            took_us: 50 * MILLISECOND_US,
             ..attempt.report(outcome, FillResult::Hit)
         };
-        router.handle(now + MILLISECOND, Event::AttemptEnded(report), &mut actions);
+        router.handle(
+            now + MILLISECOND_US,
+            Event::AttemptEnded(report),
+            &mut actions,
+        );
     }
     if step % 10 == 0 {
         let sweep = Event::Timer {
             tag: SWEEP_TIMER_TAG,
         };
-        router.handle(now + MILLISECOND, sweep, &mut actions);
+        router.handle(now + MILLISECOND_US, sweep, &mut actions);
     }
     actions
 }
 
-/// The actions of each step of the script, by a router of its own.
+/// Runs the script with a new router and returns the actions of each step.
 fn run_alone(seed: u64) -> Vec<Vec<Action>> {
     let mut router = new_router(seed);
-    (0..STEPS)
+    (0..STEP_COUNT)
         .map(|step| run_step(&mut router, seed, step))
         .collect()
 }
 
+/// Guards against state that routers share or that depends on the process: events of one router
+/// would then change the actions of another.
 #[test]
 fn equal_events_give_equal_actions_and_routers_share_no_state() {
     let expected = SEEDS.map(run_alone);
     let mut routers = SEEDS.map(new_router);
-    for step in 0..STEPS {
+    for step in 0..STEP_COUNT {
         for (index, router) in routers.iter_mut().enumerate() {
             assert_eq!(
                 run_step(router, SEEDS[index], step),
@@ -78,7 +85,7 @@
     }
 }
 
-/// The actions for 200 requests by a router with this endpoint list.
+/// Returns the actions of a router with this endpoint list for each of 200 requests.
 fn actions_with_endpoints(endpoints: Vec<Endpoint>) -> Vec<Vec<Action>> {
     const REQUESTS: usize = 200;
     const OBJECTS: usize = 50;
@@ -89,13 +96,15 @@
         .collect()
 }
 
+/// Guards against routers that choose different cache servers for the same object because they have
+/// received the endpoint list in a different order.
 #[test]
 fn the_order_of_a_list_of_hundreds_of_servers_does_not_change_the_actions() {
     const CACHE_SERVER_COUNT: ServerId = 300;
-    const CACHE_SERVERS_PER_LOCAL_ONE: ServerId = 20;
+    const CACHE_SERVERS_PER_LOCAL_SERVER: ServerId = 20;
     let mut endpoints: Vec<Endpoint> = (1..=CACHE_SERVER_COUNT)
         .map(|id| {
-            if id % CACHE_SERVERS_PER_LOCAL_ONE == 0 {
+            if id % CACHE_SERVERS_PER_LOCAL_SERVER == 0 {
                 cache_server(id)
             } else {
                 remote_cache_server(id)
--- a/crates/routing/tests/fill_source.rs
+++ b/crates/routing/tests/fill_source.rs
@@ -1,9 +1,11 @@
-//! Where a cache miss is filled from: a parent, the origin, or a peer of the same location.
+//! The fill source of a cache miss: a parent, the origin, or a peer of the same location.
 
 mod support;
 use edge_routing::*;
 use support::*;
 
+/// Guards against an object that each parent fetches from the origin, and against misses that are
+/// not filled in a deployment without parents.
 #[test]
 fn fills_come_from_one_parent_per_object_and_from_the_origin_without_parents() {
     let mut harness = Harness::with_defaults();
@@ -22,12 +24,12 @@
     assert_eq!(harness.forward(VIDEO, "/o/a").fill.source, ORIGIN);
 }
 
-/// How many of the later fills still come from the parent that is first in the rendezvous order,
-/// while its fills take `first_parent_took` and those of the other parent 150 ms.
-fn later_fills_from_first_parent(settings: Settings, first_parent_took: Micros) -> usize {
-    const SECOND_PARENT_TOOK: Micros = 150 * MILLISECOND;
+/// Returns how many of the later fills still come from the first parent in the rendezvous order.
+/// Its fills take `first_parent_fill_time_us`, and those of the other parent 150 ms.
+fn later_fills_from_first_parent(settings: Settings, first_parent_fill_time_us: Micros) -> usize {
+    const SECOND_PARENT_FILL_TIME_US: Micros = 150 * MILLISECOND_US;
     const REQUESTS: usize = 60;
-    const REQUESTS_TO_LEARN: usize = 40;
+    const REQUESTS_BEFORE_MEASUREMENT: usize = 40;
     const OBJECTS: usize = 6;
     let mut harness = Harness::new(settings, fleet());
     let first_parent = harness.forward(VIDEO, "/o/0").fill.source;
@@ -35,26 +37,28 @@
     for index in 0..REQUESTS {
         let attempt = harness.forward(VIDEO, &format!("/o/{}", index % OBJECTS));
         let from_first_parent = attempt.fill.source == first_parent;
-        harness.advance(20 * MILLISECOND);
+        harness.advance(20 * MILLISECOND_US);
         harness.report(AttemptReport {
             took_us: if from_first_parent {
-                first_parent_took
+                first_parent_fill_time_us
             } else {
-                SECOND_PARENT_TOOK
+                SECOND_PARENT_FILL_TIME_US
             },
             ..attempt.report(Outcome::Ok, FillResult::Filled)
         });
-        if index >= REQUESTS_TO_LEARN && from_first_parent {
+        if index >= REQUESTS_BEFORE_MEASUREMENT && from_first_parent {
             later_fills += 1;
         }
     }
     later_fills
 }
 
+/// Guards against fills that stay at a slow parent, and against fills that move at small
+/// differences, which would make both parents fetch the same objects.
 #[test]
 fn the_second_parent_fills_while_the_first_is_clearly_slower_for_the_size() {
-    let much_slower = 900 * MILLISECOND;
-    let slightly_slower = 200 * MILLISECOND;
+    let much_slower = 900 * MILLISECOND_US;
+    let slightly_slower = 200 * MILLISECOND_US;
     let without_transfer_rate = Settings {
         transfer_kb_per_s: 0.0,
         ..settings()
@@ -62,25 +66,26 @@
     assert_eq!(
         later_fills_from_first_parent(settings(), much_slower),
         0,
-        "six times as slow: the second parent"
+        "the first parent is six times as slow, so the second parent fills"
     );
     assert!(
         later_fills_from_first_parent(settings(), slightly_slower) > 0,
-        "slightly slower: the first parent"
+        "the first parent is only slightly slower, so it fills"
     );
     assert!(
         later_fills_from_first_parent(without_transfer_rate, much_slower) > 0,
-        "transfer times are unknown: the first parent"
+        "the transfer times are unknown, so the first parent fills"
     );
 }
 
+/// Guards against retries that meet the same rejection until no attempt is left.
 #[test]
 fn a_fill_source_that_rejects_is_not_used_again_for_the_same_request() {
     let mut harness = Harness::with_defaults();
     let first = harness.forward(VIDEO, "/o/a");
     let retry = harness
         .retry_with(&first, Outcome::Rejected, FillResult::SourceRejected)
-        .expect("a retry");
+        .expect("the attempt is retried");
     assert_eq!(
         retry.server, first.server,
         "the cache server is not at fault"
@@ -88,6 +93,8 @@
     assert_ne!(retry.fill.source, first.fill.source);
 }
 
+/// Guards against congestion of the location's link by a cache server that started empty while its
+/// peers have the copies.
 #[test]
 fn a_peer_fills_a_cache_server_that_is_warming_up() {
     let warming_up = CACHE_SERVERS[0];
@@ -96,12 +103,15 @@
         peer_fill: PeerFill::SameLocation,
         ..settings()
     };
-    let endpoints = fleet_with_started(warming_up, START_TIME - 5 * SECOND);
+    let endpoints = fleet_with_started(warming_up, START_TIME_US - 5 * SECOND_US);
     let mut harness = Harness::new(settings, endpoints);
     let attempt = (0..40)
         .map(|index| harness.forward(VIDEO, &format!("/o/{index}")))
         .find(|attempt| attempt.server == warming_up)
-        .expect("a request for one of its objects");
+        .expect("a request goes to the server that is warming up");
     let source = attempt.fill.source;
-    assert!(peers.contains(&source), "{source}");
+    assert!(
+        peers.contains(&source),
+        "fill source {source} is not a peer"
+    );
 }
--- a/crates/routing/tests/origin_load_shedding.rs
+++ b/crates/routing/tests/origin_load_shedding.rs
@@ -1,19 +1,19 @@
-//! Load shedding before the origin: while it is late or fails, few requests may reach it, and the
-//! others get only what the parents have cached.
+//! Load shedding for the origin: while the origin is late or fails, only few requests may reach it.
+//! The other requests get only what the parents have cached.
 
 mod support;
 use edge_routing::*;
 use support::*;
 
-/// Requests of a batch, each for an object of its own.
-const BATCH: usize = 100;
-/// A time to first byte within the latency objective.
-const IN_TIME: Micros = 100 * MILLISECOND;
-/// A time to first byte past the latency objective.
-const LATE: Micros = 900 * MILLISECOND;
+/// The number of requests of a batch. Each request is for a different object.
+const BATCH_REQUESTS: usize = 100;
+/// A time to first byte within the latency objective, in microseconds.
+const IN_TIME_TTFB_US: Micros = 100 * MILLISECOND_US;
+/// A time to first byte past the latency objective, in microseconds.
+const LATE_TTFB_US: Micros = 900 * MILLISECOND_US;
 
-/// Forwards the batch of this number and serves it by fills of this kind; returns how many of its
-/// requests might reach the origin.
+/// Forwards the batch with this number and serves each request by a fill with this result. Returns
+/// how many of the requests may reach the origin.
 fn requests_that_may_reach_origin(
     harness: &mut Harness,
     batch_number: usize,
@@ -21,16 +21,16 @@
     fill_result: FillResult,
 ) -> usize {
     let mut may_reach_origin = 0;
-    for index in 1..=BATCH {
-        let object = format!("/o/{}", batch_number * BATCH + index);
+    for index in 1..=BATCH_REQUESTS {
+        let object = format!("/o/{}", batch_number * BATCH_REQUESTS + index);
         let attempt = harness.forward(VIDEO, &object);
-        harness.advance(10 * MILLISECOND);
+        harness.advance(10 * MILLISECOND_US);
         harness.report(AttemptReport {
-            took_us: fill_ttfb_us + 100 * MILLISECOND,
+            took_us: fill_ttfb_us + 100 * MILLISECOND_US,
             fill_ttfb_us,
             ..attempt.report(Outcome::Ok, fill_result)
         });
-        if harness.now % SWEEP_INTERVAL == 0 {
+        if harness.now % SWEEP_INTERVAL_US == 0 {
             harness.sweep();
         }
         assert!(attempt.fills_a_miss());
@@ -41,61 +41,66 @@
     may_reach_origin
 }
 
+/// Guards against a queue at the origin that outlasts its cause: the origin also processes requests
+/// that nobody waits for any more, so that all others are late as well.
 #[test]
 fn few_requests_may_reach_the_origin_while_it_is_late() {
     use FillResult::{Filled, FilledFromOrigin};
-    const FEW: usize = BATCH / 5;
+    const TOO_MANY_REQUESTS: usize = BATCH_REQUESTS / 5;
     let mut harness = Harness::with_defaults();
     assert_eq!(
-        requests_that_may_reach_origin(&mut harness, 0, IN_TIME, FilledFromOrigin),
-        BATCH
+        requests_that_may_reach_origin(&mut harness, 0, IN_TIME_TTFB_US, FilledFromOrigin),
+        BATCH_REQUESTS
     );
 
-    requests_that_may_reach_origin(&mut harness, 1, LATE, FilledFromOrigin);
-    let while_late = requests_that_may_reach_origin(&mut harness, 2, LATE, FilledFromOrigin);
+    requests_that_may_reach_origin(&mut harness, 1, LATE_TTFB_US, FilledFromOrigin);
+    let while_late =
+        requests_that_may_reach_origin(&mut harness, 2, LATE_TTFB_US, FilledFromOrigin);
     assert!(
-        (1..FEW).contains(&while_late),
-        "a few find out whether it has recovered: {while_late}"
+        (1..TOO_MANY_REQUESTS).contains(&while_late),
+        "{while_late} requests may reach the origin, but a few must show whether it has recovered"
     );
     let served_by_parents =
-        requests_that_may_reach_origin(&mut harness, 3, 10 * MILLISECOND, Filled);
+        requests_that_may_reach_origin(&mut harness, 3, 10 * MILLISECOND_US, Filled);
     assert!(
-        served_by_parents < FEW,
-        "the parents' own copies say nothing of the origin: {served_by_parents}"
+        served_by_parents < TOO_MANY_REQUESTS,
+        "copies of parents show nothing about the origin, but {served_by_parents} may reach it"
     );
 
-    requests_that_may_reach_origin(&mut harness, 4, IN_TIME, FilledFromOrigin);
+    requests_that_may_reach_origin(&mut harness, 4, IN_TIME_TTFB_US, FilledFromOrigin);
     assert_eq!(
-        requests_that_may_reach_origin(&mut harness, 5, IN_TIME, FilledFromOrigin),
-        BATCH,
-        "it has recovered"
+        requests_that_may_reach_origin(&mut harness, 5, IN_TIME_TTFB_US, FilledFromOrigin),
+        BATCH_REQUESTS,
+        "the origin has recovered"
     );
 
     let slightly_late = requests_that_may_reach_origin(
         &mut Harness::with_defaults(),
         6,
-        600 * MILLISECOND,
+        600 * MILLISECOND_US,
         FilledFromOrigin,
     );
     let very_late = requests_that_may_reach_origin(
         &mut Harness::with_defaults(),
         7,
-        2 * SECOND,
+        2 * SECOND_US,
         FilledFromOrigin,
     );
     assert!(
         very_late < slightly_late,
-        "the later, the fewer: {very_late}, {slightly_late}"
+        "{very_late} requests may reach a very late origin, {slightly_late} a slightly late one"
     );
 }
 
+/// Guards against load shedding for a working origin because one parent is unreachable: its failed
+/// fills would keep requests to the other parent from the origin.
 #[test]
-fn an_unreachable_parent_is_not_taken_for_a_late_origin() {
+fn an_unreachable_parent_does_not_count_as_a_late_origin() {
     const RETRIES: usize = 5;
     let unreachable = PARENTS[0];
     let mut harness = Harness::with_defaults();
     for index in 0..60 {
-        harness.advance(2 * MILLISECOND);
+        harness.advance(2 * MILLISECOND_US);
         let first = harness.forward(VIDEO, &format!("/o/{index}"));
         let mut retry = if first.fill.source == unreachable {
             harness.retry_with(&first, Outcome::Rejected, FillResult::SourceUnreachable)
@@ -113,11 +118,11 @@
         .count();
     assert_eq!(
         only_if_cached, 0,
-        "the other parent requests what it lacks from the origin"
+        "the other parent fills its misses from the origin"
     );
 }
 
-/// How many of 40 requests that are served as cache hits must not reach the origin.
+/// Returns how many of 40 requests that are served as cache hits must not reach the origin.
 fn hits_that_must_not_reach_origin(harness: &mut Harness) -> usize {
     (0..40)
         .map(|index| harness.serve_hit(VIDEO, &format!("/o/{index}")))
@@ -125,8 +130,10 @@
         .count()
 }
 
+/// Guards against load shedding that never ends at a router with few fills: it hardly sees an
+/// answer of the origin that shows the recovery.
 #[test]
-fn a_router_with_few_fills_ends_load_shedding_once_failures_have_stopped() {
+fn a_router_without_fills_ends_load_shedding_once_failures_have_stopped() {
     const SWEEPS_IN_TEN_SECONDS: usize = 200;
     let mut harness = Harness::with_defaults();
     for index in 0..30 {
@@ -136,24 +143,24 @@
     }
     assert!(
         hits_that_must_not_reach_origin(&mut harness) > 30,
-        "all of its fills have failed at the origin"
+        "all fills of the router have failed at the origin"
     );
     for _ in 0..SWEEPS_IN_TEN_SECONDS {
-        harness.advance(SWEEP_INTERVAL);
+        harness.advance(SWEEP_INTERVAL_US);
         harness.sweep();
     }
     assert_eq!(
         hits_that_must_not_reach_origin(&mut harness),
         0,
-        "nothing has failed for ten seconds, though nothing was filled either"
+        "no fill has failed for ten seconds, although none has succeeded either"
     );
 }
 
-/// How many of 40 requests must not reach the origin, after a group was purged and 20 requests for
-/// objects of [`GROUP`] have timed out.
+/// Returns how many of 40 requests must not reach the origin after a group was purged and 20
+/// requests for objects of [`GROUP`] have timed out.
 fn requests_kept_from_origin_after_timeouts(purged_group: u64) -> usize {
     let mut harness = Harness::with_defaults();
-    harness.handle(group_purge(purged_group, 100 * MILLISECOND));
+    harness.handle(group_purge(purged_group, 100 * MILLISECOND_US));
     for index in 0..20 {
         let attempt = harness.forward(VIDEO, &format!("/x/{index}"));
         harness.finish(&attempt, Outcome::Timeout);
@@ -165,15 +172,17 @@
         .count()
 }
 
+/// Guards against an overloaded origin that gets all requests because fills after the purge of a
+/// group time out and never report their time to first byte.
 #[test]
 fn time_outs_of_purged_objects_start_load_shedding() {
     assert!(
         requests_kept_from_origin_after_timeouts(GROUP) > 20,
-        "only the origin could have given these"
+        "only the origin could have served the purged objects"
     );
     assert_eq!(
         requests_kept_from_origin_after_timeouts(OTHER_GROUP),
         0,
-        "a time-out of what may be cached anywhere says nothing of the origin"
+        "a time-out of an object that may be cached shows nothing about the origin"
     );
 }
--- a/crates/routing/tests/replication.rs
+++ b/crates/routing/tests/replication.rs
@@ -1,29 +1,35 @@
-//! Which cache servers hold an object: rendezvous order, with as many copies as the object's share
-//! of the requests calls for.
+//! Replication: the cache servers of an object are the first ones in its rendezvous order. Their
+//! number is proportional to the object's share of all requests.
 
 mod support;
 use edge_routing::*;
 use std::collections::BTreeSet;
 use support::*;
 
+/// The number of objects that are requested once each.
 const OBJECTS: usize = 300;
+/// The object that is requested more often than others.
 const HOT_OBJECT: &str = "/o/hot";
 
+/// Guards against routers that send requests for one object to different cache servers, which would
+/// store needless copies.
 #[test]
 fn objects_spread_over_all_cache_servers_in_an_order_that_every_router_shares() {
     let mut early = Harness::with_defaults();
     let mut late = Harness::with_defaults();
-    late.advance(60 * SECOND);
+    late.advance(60 * SECOND_US);
     let servers = early.servers_of_objects(OBJECTS);
     assert_eq!(servers.len(), OBJECTS, "every request is forwarded");
     assert_eq!(
         servers,
         late.servers_of_objects(OBJECTS),
-        "the order is shared"
+        "both routers choose the same cache servers"
     );
     assert_eq!(BTreeSet::from_iter(servers), BTreeSet::from(CACHE_SERVERS));
 }
 
+/// Guards against a wave of misses when a cache server leaves: objects of the other servers would
+/// have to be filled again.
 #[test]
 fn removing_a_cache_server_moves_only_its_own_objects() {
     const REMOVED: ServerId = 3;
@@ -43,16 +49,16 @@
     }
 }
 
-/// How many cache servers get the requests for one object, once its share of all requests is known,
-/// while `other_objects` requests for other objects follow each of its own.
+/// Returns how many cache servers get the requests for one object once its share of all requests is
+/// known. `other_objects` requests for other objects follow each request for it.
 fn copies_of_hot_object(other_objects: usize) -> usize {
     const ROUNDS: usize = 600;
-    const ROUNDS_TO_LEARN: usize = 300;
+    const ROUNDS_BEFORE_MEASUREMENT: usize = 300;
     let mut harness = Harness::with_defaults();
     let mut servers = BTreeSet::new();
     for round in 0..ROUNDS {
         let attempt = harness.serve_hit(VIDEO, HOT_OBJECT);
-        if round > ROUNDS_TO_LEARN {
+        if round > ROUNDS_BEFORE_MEASUREMENT {
             servers.insert(attempt.server);
         }
         for other in 0..other_objects {
@@ -62,29 +68,31 @@
     servers.len()
 }
 
+/// Guards against a popular object that overloads its only cache server.
 #[test]
-fn copies_grow_with_the_share_of_requests() {
+fn the_number_of_copies_grows_with_the_share_of_requests() {
     assert_eq!(
         copies_of_hot_object(2),
         2,
-        "a third of the requests, four cache servers"
+        "a third of the requests needs two of four cache servers"
     );
     assert_eq!(
         copies_of_hot_object(0),
         CACHE_SERVERS.len(),
-        "all of the requests"
+        "all of the requests need all cache servers"
     );
 }
 
+/// Guards against cache space that is used for copies of objects that were popular long ago.
 #[test]
-fn request_counts_decay() {
+fn an_object_that_is_no_longer_popular_has_one_copy() {
     const ROUNDS: usize = 200;
     const ROUNDS_PER_HOT_REQUEST: usize = 20;
     let mut harness = Harness::with_defaults();
     for _ in 0..ROUNDS {
         harness.serve_hit(VIDEO, HOT_OBJECT);
     }
-    harness.advance(300 * SECOND);
+    harness.advance(300 * SECOND_US);
     let mut servers = BTreeSet::new();
     for round in 0..ROUNDS {
         harness.serve_hit(VIDEO, &format!("/o/{round}"));
@@ -93,9 +101,5 @@
             servers.insert(harness.serve_hit(VIDEO, HOT_OBJECT).server);
         }
     }
-    assert_eq!(
-        servers.len(),
-        1,
-        "an object that was hot long ago has one copy"
-    );
+    assert_eq!(servers.len(), 1, "the request counts have decayed");
 }
--- a/crates/routing/tests/retention.rs
+++ b/crates/routing/tests/retention.rs
@@ -1,14 +1,15 @@
-//! The rank at which a copy is retained, by how often its object was requested.
+//! The retention rank of copies, which depends on how often their part was requested.
 
 mod support;
 use support::*;
 
-/// Rank of the copy of an object that was not requested before.
+/// The retention rank of a part that was not requested before.
 const FIRST_REQUEST_RANK: u8 = 1;
-/// Rank of the copy of an object that is requested again while the earlier request is still
-/// counted.
+/// The retention rank of a part that is requested again while the earlier request still counts.
 const REPEATED_REQUEST_RANK: u8 = 2;
 
+/// Guards against a scan of objects that are requested once, which would evict popular copies of
+/// the same rank.
 #[test]
 fn a_repeated_request_raises_the_retention_rank() {
     let mut harness = Harness::with_defaults();
@@ -18,8 +19,10 @@
     assert_eq!(second.fill.retention_rank, REPEATED_REQUEST_RANK);
 }
 
+/// Guards against a full table of request counts that evicts frequent objects together with rare
+/// ones.
 #[test]
-fn a_frequent_object_stays_counted_when_the_table_of_counts_is_full() {
+fn a_frequent_object_keeps_its_count_when_the_table_of_counts_is_full() {
     const REQUESTS: usize = 30_000;
     const REQUESTS_PER_FREQUENT_REQUEST: usize = 3;
     let mut harness = Harness::with_defaults();
@@ -38,11 +41,11 @@
                 last_rank = Some(attempt.fill.retention_rank);
             }
         }
-        harness.advance(MILLISECOND / 10);
+        harness.advance(MILLISECOND_US / 10);
     }
     assert_eq!(
         last_rank,
         Some(REPEATED_REQUEST_RANK),
-        "requested again while counted"
+        "the earlier requests for the frequent object still count"
     );
 }
--- a/crates/routing/tests/settings.rs
+++ b/crates/routing/tests/settings.rs
@@ -1,18 +1,20 @@
-//! Settings that a router can't work with are an error that says what is wrong.
+//! Invalid settings: a router is not created and the error names the invalid setting.
 
 mod support;
 use edge_routing::*;
 use support::*;
 
-/// The error of a router whose settings a test has changed.
+/// Returns the error of a router with changed settings, or `None` if the settings are valid.
 fn error_after(change: impl FnOnce(&mut Settings)) -> Option<SettingsError> {
     let mut settings = settings();
     change(&mut settings);
     Router::new(settings, 1).err()
 }
 
+/// Guards against a router that starts with unusable settings and panics or misbehaves at a
+/// request.
 #[test]
-fn invalid_settings_are_an_error_that_says_what_is_wrong() {
+fn invalid_settings_give_an_error_that_names_the_invalid_setting() {
     let invalid_value = |name| Some(SettingsError::InvalidValue(name));
     assert_eq!(
         error_after(|settings| settings.classes.clear()),
@@ -23,7 +25,7 @@
         Some(SettingsError::UnknownZone)
     );
     assert_eq!(
-        error_after(|settings| settings.zones[LOCAL_ZONE].hub = 9),
+        error_after(|settings| settings.zones[LOCAL_ZONE_INDEX].hub = 9),
         Some(SettingsError::UnknownZone)
     );
     assert_eq!(
@@ -45,6 +47,6 @@
     assert_eq!(
         error_after(|_| ()),
         None,
-        "the settings of the other tests are valid"
+        "the unchanged settings are valid"
     );
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,32 +1,32 @@
-//! Slow start: however many routers there are and however many requests they see, a server that is
-//! warming up gets no more work than its slow-start budget.
+//! Slow start: a server that is warming up gets no more work than its slow-start budget, whatever
+//! the number of routers and of their requests.
 
 mod support;
 use edge_routing::*;
 use support::*;
 
-/// How long one transfer of a part takes at full rate, in seconds.
+/// The time that the transfer of a part takes at full rate, in seconds.
 const TRANSFER_S: f64 = PART_SIZE_KB / TRANSFER_KB_PER_S;
-/// The share of its capacity that a cache server has when it has just started.
-const INITIAL_SHARE: f64 = 0.2;
-/// How long the share of a cache server takes to grow to one, in microseconds.
+/// The share of its capacity that a cache server has at its start.
+const INITIAL_CAPACITY_SHARE: f64 = 0.2;
+/// The time until a cache server has its full capacity, in microseconds.
 const WARM_UP_US: f64 = 10e6;
-/// A cache server collapses when it is sent this multiple of its present capacity for a second.
+/// The multiple of its current capacity at which a cache server collapses if it lasts for a second.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// The share of its capacity that a parent has when it has just started.
-const PARENT_INITIAL_SHARE: f64 = 0.1;
-/// As [`OVERLOAD_MULTIPLE`], for parents.
+/// The share of its capacity that a parent has at its start.
+const PARENT_INITIAL_CAPACITY_SHARE: f64 = 0.1;
+/// The same as [`OVERLOAD_MULTIPLE`] for parents.
 const PARENT_OVERLOAD_MULTIPLE: f64 = 2.0;
-/// The group of the requests that the tests with many routers make.
+/// The purge group of the requests in the tests with many routers.
 const REQUEST_GROUP: u64 = 1;
 
-/// How many of 200 requests one of `edge_proxies` routers forwards at once to a cache server that
-/// has just started and has no peers.
+/// Returns how many of 200 simultaneous requests one of `edge_proxies` routers forwards to a cache
+/// server that has just started and is the only one of its location.
 fn attempts_at_just_started_cache_server(edge_proxies: u32) -> usize {
     let mut settings = settings_without_direct_requests();
-    settings.zones[LOCAL_ZONE].edge_proxies = edge_proxies;
+    settings.zones[LOCAL_ZONE_INDEX].edge_proxies = edge_proxies;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-    endpoints[0].started = Some(START_TIME);
+    endpoints[0].started = Some(START_TIME_US);
     let mut harness = Harness::new(settings, endpoints);
     (0..200)
         .filter_map(|index| harness.submit(VIDEO, &format!("/o/{index}")).attempt())
@@ -34,49 +34,57 @@
         .count()
 }
 
+/// Guards against the collapse of a cache server that has only a share of its capacity at its
+/// start.
 #[test]
 fn a_just_started_cache_server_gets_no_more_attempts_than_its_budget() {
-    // 0.1 s of work each; the rule allows 3 x 0.2 x 8 transfers for one second.
-    const BUDGET: usize = 48;
+    // The rule allows 3 x 0.2 x 8 seconds of work in one second. An attempt is 0.1 s of work.
+    const BUDGET_TRANSFERS: usize = 48;
     let alone = attempts_at_just_started_cache_server(1);
-    assert!((1..=BUDGET).contains(&alone), "{alone}");
+    assert!(
+        (1..=BUDGET_TRANSFERS).contains(&alone),
+        "{alone} attempts of one router"
+    );
     let one_of_two = attempts_at_just_started_cache_server(2);
     assert!(
-        (1..=BUDGET / 2).contains(&one_of_two),
-        "two routers share the budget: {one_of_two}"
+        (1..=BUDGET_TRANSFERS / 2).contains(&one_of_two),
+        "two routers share the budget, but one has {one_of_two} attempts"
     );
 }
 
+/// Guards against the collapse of a parent that has just started while all locations fill from it.
 #[test]
 fn a_just_started_parent_gets_no_more_fills_than_its_budget() {
-    // 2 x 0.1 x 30 transfers for one second, of which half is for the other location's router.
-    const BUDGET: usize = 30;
+    // The rule allows 2 x 0.1 x 30 seconds of work in one second. A fill is 0.1 s of work, and half
+    // of the budget belongs to the router of the other location.
+    const BUDGET_TRANSFERS: usize = 30;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-    endpoints[0].weight = UNLIMITED_CAPACITY;
-    endpoints[1].started = Some(START_TIME);
+    endpoints[0].weight = UNLIMITED_CAPACITY_TRANSFERS;
+    endpoints[1].started = Some(START_TIME_US);
     let mut harness = Harness::new(settings_without_direct_requests(), endpoints);
     let fills = (0..300)
         .filter_map(|index| harness.submit(PAGE, &format!("/o/{index}")).attempt())
         .filter(|attempt| attempt.fill.source == PARENTS[0])
         .count();
-    assert!((1..=BUDGET).contains(&fills), "{fills}");
+    assert!((1..=BUDGET_TRANSFERS).contains(&fills), "{fills} fills");
 }
 
-/// Settings where all `edge_proxies` routers are in one location whose link never limits anything.
+/// Returns settings where all `edge_proxies` routers are in one location whose link is never a
+/// bottleneck.
 fn settings_with_edge_proxies(edge_proxies: u32) -> Settings {
     let mut settings = settings_without_direct_requests();
-    settings.zones[LOCAL_ZONE].edge_proxies = edge_proxies;
-    settings.zones[REMOTE_ZONE].edge_proxies = 0;
-    settings.zones[LOCAL_ZONE].link_kb_per_s = UNLIMITED_LINK_KB_PER_S;
+    settings.zones[LOCAL_ZONE_INDEX].edge_proxies = edge_proxies;
+    settings.zones[REMOTE_ZONE_INDEX].edge_proxies = 0;
+    settings.zones[LOCAL_ZONE_INDEX].link_kb_per_s = UNLIMITED_LINK_KB_PER_S;
     settings
 }
 
-/// A seed of its own for each of many routers.
+/// Returns a different seed for each of many routers.
 fn router_seed(index: u32) -> u64 {
     u64::from(index).wrapping_mul(0x9e37_79b9)
 }
 
-/// Whether the action gives this server work: an attempt, or the fill of one.
+/// Returns whether the action gives work to this server: an attempt, or the fill of an attempt.
 fn gives_work_to(action: &Action, id: ServerId) -> bool {
     match action {
         Action::StartAttempt {
@@ -88,24 +96,24 @@
     }
 }
 
-/// Work, in seconds, that `edge_proxies` routers together give at once to a server that started a
-/// second ago, while each has 60 requests.
-fn work_given_at_once(edge_proxies: u32, warming_up: ServerId) -> f64 {
+/// Returns the work in seconds that `edge_proxies` routers together give to a server that started a
+/// second ago. Each router has 60 simultaneous requests.
+fn simultaneous_work_s(edge_proxies: u32, warming_up: ServerId) -> f64 {
     const REQUESTS_PER_ROUTER: u64 = 60;
     let settings = settings_with_edge_proxies(edge_proxies);
-    let endpoints = fleet_with_started(warming_up, START_TIME - SECOND);
+    let endpoints = fleet_with_started(warming_up, START_TIME_US - SECOND_US);
     let mut work_s = 0.0;
     for index in 0..edge_proxies {
         let seed = router_seed(index);
         let mut router =
-            router_with_endpoints(settings.clone(), seed, START_TIME, endpoints.clone());
+            router_with_endpoints(settings.clone(), seed, START_TIME_US, endpoints.clone());
         let mut actions = Vec::new();
         for number in 0..REQUESTS_PER_ROUTER {
             let request = Request {
                 group: REQUEST_GROUP,
                 ..request(number + 1, VIDEO, &format!("/o/{number}"))
             };
-            router.handle(START_TIME, Event::Request(request), &mut actions);
+            router.handle(START_TIME_US, Event::Request(request), &mut actions);
         }
         let transfers = actions
             .iter()
@@ -116,85 +124,94 @@
     work_s
 }
 
-/// Asserts that one, eight and 200 routers use a server that is warming up, within its budget.
+/// Asserts that 1, 8 and 200 routers use a server that is warming up, but stay within its budget.
 fn assert_used_within_budget(warming_up: ServerId, budget_s: f64) {
     for edge_proxies in [1, 8, 200] {
-        let work_s = work_given_at_once(edge_proxies, warming_up);
-        assert!(work_s > 0.0, "{edge_proxies} edge proxies leave it idle");
+        let work_s = simultaneous_work_s(edge_proxies, warming_up);
+        assert!(
+            work_s > 0.0,
+            "{edge_proxies} edge proxies leave the server idle"
+        );
         assert!(
             work_s < budget_s,
-            "{edge_proxies} edge proxies give it {work_s} s of work of {budget_s} s"
+            "{edge_proxies} edge proxies give it {work_s} s of work with a budget of {budget_s} s"
         );
     }
 }
 
+/// Guards against hundreds of routers whose part of the budget is less than one request: each would
+/// send none, or each would send one.
 #[test]
-fn one_router_and_hundreds_use_a_warming_cache_server_within_its_budget() {
-    let budget_s = INITIAL_SHARE * CACHE_CAPACITY * OVERLOAD_MULTIPLE;
+fn any_number_of_routers_uses_a_warming_cache_server_within_its_budget() {
+    let budget_s = INITIAL_CAPACITY_SHARE * CACHE_CAPACITY_TRANSFERS * OVERLOAD_MULTIPLE;
     assert_used_within_budget(CACHE_SERVERS[0], budget_s);
 }
 
+/// Guards against hundreds of routers that each send a parent no fill at all, or each send one.
 #[test]
-fn one_router_and_hundreds_use_a_warming_parent_within_its_budget() {
-    let budget_s = PARENT_INITIAL_SHARE * PARENT_CAPACITY * PARENT_OVERLOAD_MULTIPLE;
+fn any_number_of_routers_uses_a_warming_parent_within_its_budget() {
+    let budget_s =
+        PARENT_INITIAL_CAPACITY_SHARE * PARENT_CAPACITY_TRANSFERS * PARENT_OVERLOAD_MULTIPLE;
     assert_used_within_budget(PARENTS[0], budget_s);
 }
 
-/// Routers that see requests at a steady rate while a cache server warms up.
+/// Routers that receive requests at a steady rate while a cache server is warming up.
 struct WarmUpScenario {
-    /// How many routers there are.
+    /// The number of routers.
     edge_proxies: u32,
-    /// Each router gets a request this often.
-    request_interval: Micros,
-    /// How many of the routers lose their state, each time.
+    /// The interval between two requests to one router.
+    request_interval_us: Micros,
+    /// The number of routers that lose their state at each restart.
     restarted: u32,
-    /// When they do, after the start of the cache server.
-    restarts_after: &'static [Micros],
+    /// The times of the restarts, measured from the start of the cache server.
+    restarts_after_us: &'static [Micros],
 }
 
-/// A window of one second while a cache server warms up.
+/// A window of one second while a cache server is warming up.
 struct Window {
-    /// Attempts that the cache server got from all routers.
+    /// The number of attempts that the cache server got from all routers.
     attempts: f64,
-    /// Attempts that the rule allows.
+    /// The number of attempts that the rule allows.
     allowed: f64,
 }
 
 impl Window {
-    /// Attempts over those allowed, with slack for chance: two standard deviations and two more.
+    /// Returns the ratio of the attempts to the allowed attempts. The allowance includes a margin
+    /// for random variation: two standard deviations plus two attempts.
     fn utilization(&self) -> f64 {
         self.attempts / (self.allowed + 2.0 * self.allowed.sqrt() + 2.0)
     }
 }
 
 impl WarmUpScenario {
-    /// How long the scenario runs, in windows of one second.
-    const WINDOWS: u64 = 6;
+    /// The length of the scenario in windows of one second.
+    const WINDOW_COUNT: u64 = 6;
     /// The cache server that has just started.
-    const JUST_STARTED: ServerId = CACHE_SERVERS[0];
+    const JUST_STARTED_SERVER: ServerId = CACHE_SERVERS[0];
 
-    /// A router that has just been given the endpoint list.
+    /// Creates a router that has just received the endpoint list.
     fn new_router(&self, seed_index: u32, now: Micros) -> Router {
         router_with_endpoints(
             settings_with_edge_proxies(self.edge_proxies),
             router_seed(seed_index),
             now,
-            fleet_with_started(WarmUpScenario::JUST_STARTED, START_TIME),
+            fleet_with_started(WarmUpScenario::JUST_STARTED_SERVER, START_TIME_US),
         )
     }
 
-    /// Runs the scenario; returns the times of the attempts at the cache server that warms up.
+    /// Runs the scenario and returns the times of the attempts at the cache server that is warming
+    /// up.
     fn attempt_times(&self) -> Vec<Micros> {
-        let end = START_TIME + WarmUpScenario::WINDOWS * SECOND;
+        let end = START_TIME_US + WarmUpScenario::WINDOW_COUNT * SECOND_US;
         let mut routers: Vec<Router> = (0..self.edge_proxies)
-            .map(|index| self.new_router(index, START_TIME))
+            .map(|index| self.new_router(index, START_TIME_US))
             .collect();
         let mut times = Vec::new();
         let mut last_request_id = 0;
         let mut restarts = 0;
-        let mut now = START_TIME;
+        let mut now = START_TIME_US;
         while now < end {
-            if self.restarts_after.contains(&(now - START_TIME)) {
+            if self.restarts_after_us.contains(&(now - START_TIME_US)) {
                 restarts += 1;
                 for index in 0..self.restarted {
                     let seed_index = self.edge_proxies * restarts + index;
@@ -204,25 +221,26 @@
             for router in &mut routers {
                 last_request_id += 1;
                 for server in forward_and_serve(router, now, last_request_id) {
-                    if server == WarmUpScenario::JUST_STARTED {
+                    if server == WarmUpScenario::JUST_STARTED_SERVER {
                         times.push(now);
                     }
                 }
             }
-            now += self.request_interval;
+            now += self.request_interval_us;
         }
         times
     }
 
-    /// Runs the scenario; returns the windows that begin every tenth of a second.
+    /// Runs the scenario and returns the windows, one beginning at every tenth of a second.
     fn run(&self) -> Vec<Window> {
         let times = self.attempt_times();
-        let starts = (0..(WarmUpScenario::WINDOWS - 1) * 10).map(|n| START_TIME + n * SECOND / 10);
+        let starts = (0..(WarmUpScenario::WINDOW_COUNT - 1) * 10)
+            .map(|n| START_TIME_US + n * SECOND_US / 10);
         starts
             .map(|start| Window {
                 attempts: times
                     .iter()
-                    .filter(|time| (start..start + SECOND).contains(*time))
+                    .filter(|time| (start..start + SECOND_US).contains(*time))
                     .count() as f64,
                 allowed: allowed_attempts(start),
             })
@@ -230,16 +248,18 @@
     }
 }
 
-/// Attempts that a cache server may get in the window of one second from this time on, if it
-/// started at [`START_TIME`]: its share grows in a line from the initial one to one.
+/// Returns the number of attempts that a cache server may get in the window of one second that
+/// begins at this time. The server started at [`START_TIME_US`], and its share of the capacity
+/// grows linearly from the initial share to one.
 fn allowed_attempts(window_start: Micros) -> f64 {
-    let age_us = (window_start - START_TIME) as f64;
-    let share = (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * age_us / WARM_UP_US).min(1.0);
-    share * CACHE_CAPACITY * OVERLOAD_MULTIPLE / TRANSFER_S
+    let age_us = (window_start - START_TIME_US) as f64;
+    let share =
+        (INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age_us / WARM_UP_US).min(1.0);
+    share * CACHE_CAPACITY_TRANSFERS * OVERLOAD_MULTIPLE / TRANSFER_S
 }
 
-/// Hands the router a request and serves it as a cache hit at once; returns the servers that were
-/// given an attempt.
+/// Submits a request to the router and serves it as a cache hit at once. Returns the servers that
+/// got an attempt.
 fn forward_and_serve(router: &mut Router, now: Micros, id: RequestId) -> Vec<ServerId> {
     const OBJECTS: u64 = 997;
     let request = Request {
@@ -260,83 +280,97 @@
     servers
 }
 
+/// Guards against routers that lose their state and use their part of the budget again: the
+/// attempts before and after a restart add up at the server that is warming up.
 #[test]
-fn the_attempts_of_all_routers_follow_the_ramp_of_a_warming_cache_server() {
-    const HALF_WAY: &[Micros] = &[3 * SECOND];
-    // Within one window of the budget, and once more before the next has begun.
-    const IN_A_ROW: &[Micros] = &[500 * MILLISECOND, 900 * MILLISECOND];
-    let scenario = |edge_proxies, request_interval, restarted, restarts_after| WarmUpScenario {
-        edge_proxies,
-        request_interval,
-        restarted,
-        restarts_after,
-    };
+fn the_attempts_of_all_routers_follow_the_growing_capacity_of_a_warming_cache_server() {
+    const MIDWAY_RESTART_US: &[Micros] = &[3 * SECOND_US];
+    // Both restarts fall within the same window of the budget.
+    const TWO_EARLY_RESTARTS_US: &[Micros] = &[500 * MILLISECOND_US, 900 * MILLISECOND_US];
+    let scenario =
+        |edge_proxies, request_interval_us, restarted, restarts_after_us| WarmUpScenario {
+            edge_proxies,
+            request_interval_us,
+            restarted,
+            restarts_after_us,
+        };
     for scenario in [
-        scenario(30, 20 * MILLISECOND, 0, HALF_WAY),
-        scenario(30, 20 * MILLISECOND, 10, HALF_WAY),
-        scenario(100, 20 * MILLISECOND, 30, HALF_WAY),
-        scenario(300, 50 * MILLISECOND, 0, HALF_WAY),
-        scenario(1, 2 * MILLISECOND, 1, IN_A_ROW),
-        scenario(3, 4 * MILLISECOND, 2, IN_A_ROW),
-        scenario(10, 10 * MILLISECOND, 7, IN_A_ROW),
-        scenario(30, 20 * MILLISECOND, 21, IN_A_ROW),
-        scenario(100, 20 * MILLISECOND, 70, IN_A_ROW),
-        scenario(300, 50 * MILLISECOND, 210, IN_A_ROW),
-        scenario(900, 100 * MILLISECOND, 630, IN_A_ROW),
+        scenario(30, 20 * MILLISECOND_US, 0, MIDWAY_RESTART_US),
+        scenario(30, 20 * MILLISECOND_US, 10, MIDWAY_RESTART_US),
+        scenario(100, 20 * MILLISECOND_US, 30, MIDWAY_RESTART_US),
+        scenario(300, 50 * MILLISECOND_US, 0, MIDWAY_RESTART_US),
+        scenario(1, 2 * MILLISECOND_US, 1, TWO_EARLY_RESTARTS_US),
+        scenario(3, 4 * MILLISECOND_US, 2, TWO_EARLY_RESTARTS_US),
+        scenario(10, 10 * MILLISECOND_US, 7, TWO_EARLY_RESTARTS_US),
+        scenario(30, 20 * MILLISECOND_US, 21, TWO_EARLY_RESTARTS_US),
+        scenario(100, 20 * MILLISECOND_US, 70, TWO_EARLY_RESTARTS_US),
+        scenario(300, 50 * MILLISECOND_US, 210, TWO_EARLY_RESTARTS_US),
+        scenario(900, 100 * MILLISECOND_US, 630, TWO_EARLY_RESTARTS_US),
     ] {
         let windows = scenario.run();
         let highest = windows.iter().map(Window::utilization).fold(0.0, f64::max);
         assert!(
             highest <= 1.0,
-            "{} edge proxies, one request each {} us, {} restarted after {:?} us: {highest} of what it \
-             can take",
+            "{} edge proxies with a request every {} us, of which {} restart after {:?} us, send \
+             {highest} times the allowed attempts",
             scenario.edge_proxies,
-            scenario.request_interval,
+            scenario.request_interval_us,
             scenario.restarted,
-            scenario.restarts_after
+            scenario.restarts_after_us
         );
         assert!(
             windows.iter().any(|window| window.attempts > 0.0),
-            "it is used at all"
+            "the cache server is used"
         );
     }
 }
 
+/// Guards against a client that claims absurd sizes: the typical transfer time would grow until no
+/// transfer fits the budget of a server that is warming up.
 #[test]
 fn sizes_too_large_to_transfer_do_not_change_the_typical_transfer_time() {
     const HUGE_SIZE_KB: f64 = 1e9;
     let warming_up = CACHE_SERVERS[1];
     let mut harness = Harness::with_defaults();
     for index in 0..200 {
-        harness.advance(MILLISECOND);
+        harness.advance(MILLISECOND_US);
         let request = Request {
             size_kb: HUGE_SIZE_KB,
             ..harness.next_request(VIDEO, &format!("/o/huge-{index}"))
         };
         harness.submit_request(request);
     }
-    // A server that is warming up gets what fits its budget, by the typical transfer time.
+    // The typical transfer time determines what fits the budget of a server that is warming up.
     harness.handle(endpoint_delta(vec![Endpoint {
-        started: Some(harness.now - 2 * SECOND),
+        started: Some(harness.now - 2 * SECOND_US),
         ..cache_server(warming_up)
     }]));
     let servers = harness.servers_of_objects(60);
-    assert!(servers.contains(&warming_up), "{servers:?}");
+    assert!(
+        servers.contains(&warming_up),
+        "the server that is warming up is not among {servers:?}"
+    );
 }
 
+/// Guards against a slow start that lasts too long after a correction of times.
 #[test]
-fn a_start_that_turns_out_to_lie_further_back_ends_the_slow_start_sooner() {
-    let attempts_after = |moved_back: Micros| {
+fn a_start_time_that_is_moved_back_ends_the_slow_start_sooner() {
+    let attempts_after = |moved_back_us: Micros| {
         let mut settings = settings_without_direct_requests();
-        settings.zones[LOCAL_ZONE].edge_proxies = 1;
+        settings.zones[LOCAL_ZONE_INDEX].edge_proxies = 1;
         let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-        endpoints[0].started = Some(START_TIME);
+        endpoints[0].started = Some(START_TIME_US);
         let mut harness = Harness::new(settings, endpoints);
-        harness.handle(Event::TimesMovedBack { by_us: moved_back });
+        harness.handle(Event::TimesMovedBack {
+            by_us: moved_back_us,
+        });
         (0..200)
             .filter_map(|index| harness.submit(VIDEO, &format!("/o/{index}")).attempt())
             .count()
     };
-    let (cold, warmer) = (attempts_after(0), attempts_after(5 * SECOND));
-    assert!(warmer > cold, "{cold} and then {warmer}");
+    let (not_moved_back, moved_back) = (attempts_after(0), attempts_after(5 * SECOND_US));
+    assert!(
+        moved_back > not_moved_back,
+        "{not_moved_back} attempts, and {moved_back} after the start time was moved back"
+    );
 }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,71 +1,72 @@
-//! What the tests of the decision module share: settings, a fleet of servers, and a [`Harness`]
-//! that feeds one router with events and reads the actions that come back.
+//! Shared support for the integration tests: settings, an endpoint list, and a [`Harness`] that
+//! sends events to one router and returns its actions.
 
-// Every test file compiles this module for itself and uses a part of it.
+// Each test file compiles this module separately and uses only a part of it.
 #![allow(dead_code)]
 
 use edge_routing::*;
 
-/// One millisecond on the router's clock.
-pub const MILLISECOND: Micros = 1_000;
-/// One second on the router's clock.
-pub const SECOND: Micros = 1_000_000;
-/// The time at which every test begins: long after the start of every server.
-pub const START_TIME: Micros = 100 * SECOND;
-/// The time that clients give a request, unless a test says otherwise.
-pub const CLIENT_DEADLINE: Micros = 5 * SECOND;
-
-/// Tag of the router's recurring sweep timer.
+/// One millisecond, in microseconds.
+pub const MILLISECOND_US: Micros = 1_000;
+/// One second, in microseconds.
+pub const SECOND_US: Micros = 1_000_000;
+/// The time at which every test begins. Every server has started long before, unless a test says
+/// otherwise.
+pub const START_TIME_US: Micros = 100 * SECOND_US;
+/// The time after which clients give up on a request, unless a test says otherwise.
+pub const CLIENT_TIMEOUT_US: Micros = 5 * SECOND_US;
+
+/// The tag of the router's recurring sweep timer.
 pub const SWEEP_TIMER_TAG: u64 = 0;
-/// How often the router asks for its sweep timer.
-pub const SWEEP_INTERVAL: Micros = 50 * MILLISECOND;
+/// The interval at which the router sets its sweep timer.
+pub const SWEEP_INTERVAL_US: Micros = 50 * MILLISECOND_US;
 
-/// An idempotent read whose copies are fresh until they are purged.
+/// The class of idempotent reads whose copies are fresh until they are purged.
 pub const VIDEO: &str = "video";
-/// An idempotent read whose copies are fresh for [`PAGE_FRESHNESS_LIFETIME`].
+/// The class of idempotent reads whose copies are fresh for [`PAGE_FRESHNESS_LIFETIME_US`].
 pub const PAGE: &str = "page";
-/// A write that carries an idempotency key.
+/// The class of writes that carry an idempotency key.
 pub const ORDER: &str = "order";
-/// A write that is not idempotent.
+/// The class of writes that are not idempotent.
 pub const CHARGE: &str = "charge";
-/// An idempotent read that is answered as a stream.
+/// The class of idempotent reads that are answered as a stream.
 pub const STREAM: &str = "stream";
 
 /// How long a copy of class [`PAGE`] is fresh.
-pub const PAGE_FRESHNESS_LIFETIME: Micros = 10 * SECOND;
-/// How long repeats of an idempotency key are dropped.
-pub const DEDUP_WINDOW: Micros = 2 * SECOND;
+pub const PAGE_FRESHNESS_LIFETIME_US: Micros = 10 * SECOND_US;
+/// How long servers drop repeats of an idempotency key.
+pub const DEDUP_WINDOW_US: Micros = 2 * SECOND_US;
 /// The longest Retry-After that clients follow.
-pub const MAX_RETRY_AFTER: Micros = SECOND;
-/// After this long, servers have dropped purged copies by themselves.
-pub const PURGE_COMPLETION: Micros = 6 * SECOND;
+pub const MAX_RETRY_AFTER_US: Micros = SECOND_US;
+/// The time after a purge by which servers have dropped the purged copies themselves.
+pub const PURGE_COMPLETION_US: Micros = 6 * SECOND_US;
 
-/// The Retry-After of a rejection where the settings allow it.
-pub const RETRY_AFTER: Micros = 200 * MILLISECOND;
+/// The Retry-After of a rejection if the settings allow one this long.
+pub const RETRY_AFTER_US: Micros = 200 * MILLISECOND_US;
 
-/// Size of a requested part, in KB.
+/// The size of a requested part, in KB.
 pub const PART_SIZE_KB: f64 = 500.0;
-/// Rate of one transfer, in KB per second.
+/// The rate of one transfer that does not share its link, in KB per second.
 pub const TRANSFER_KB_PER_S: f64 = 5_000.0;
-/// What the link of a location carries, in KB per second.
+/// The rate of the link of a location, in KB per second.
 pub const LINK_KB_PER_S: f64 = 100_000.0;
-/// What a link carries that never limits anything, in KB per second.
+/// The rate of a link that is never a bottleneck, in KB per second.
 pub const UNLIMITED_LINK_KB_PER_S: f64 = 1e9;
-/// Capacity of a cache server or of the origin, in transfers at full rate.
-pub const CACHE_CAPACITY: f64 = 8.0;
-/// Capacity of a parent, in transfers at full rate.
-pub const PARENT_CAPACITY: f64 = 30.0;
-/// Capacity of a server that never limits anything, in transfers at full rate.
-pub const UNLIMITED_CAPACITY: f64 = 1_000.0;
-
-/// Names of the zones, by index.
+/// The capacity of a cache server or of the origin, in transfers at full rate.
+pub const CACHE_CAPACITY_TRANSFERS: f64 = 8.0;
+/// The capacity of a parent, in transfers at full rate.
+pub const PARENT_CAPACITY_TRANSFERS: f64 = 30.0;
+/// The capacity of a server that is never a bottleneck, in transfers at full rate.
+pub const UNLIMITED_CAPACITY_TRANSFERS: f64 = 1_000.0;
+
+/// The names of the zones, by index.
 pub const ZONE_NAMES: [&str; 3] = ["hub", "town", "shore"];
-/// Index of the zone of the parents and the origin.
-pub const HUB_ZONE: usize = 0;
-/// Index of the router's own zone.
-pub const LOCAL_ZONE: usize = 1;
-/// Index of another location's zone.
-pub const REMOTE_ZONE: usize = 2;
+/// The index of the zone of the parents and the origin.
+pub const HUB_ZONE_INDEX: usize = 0;
+/// The index of the router's own zone.
+pub const LOCAL_ZONE_INDEX: usize = 1;
+/// The index of the zone of another location.
+pub const REMOTE_ZONE_INDEX: usize = 2;
 
 /// The cache servers of the router's own zone in [`fleet`].
 pub const CACHE_SERVERS: [ServerId; 4] = [1, 2, 3, 4];
@@ -76,23 +77,23 @@
 /// The origin in [`fleet`].
 pub const ORIGIN: ServerId = 21;
 
-/// The group of every requested object, as purges may name it.
+/// The purge group of every requested object.
 pub const GROUP: u64 = 3;
-/// A group that no requested object belongs to.
+/// A purge group that no requested object belongs to.
 pub const OTHER_GROUP: u64 = 4;
 
-/// An idempotent read with a latency objective of half a second.
+/// Returns a class of idempotent reads with a latency objective of half a second.
 pub fn class(name: &str) -> Class {
     Class {
         name: name.into(),
-        latency_objective_us: 500 * MILLISECOND,
+        latency_objective_us: 500 * MILLISECOND_US,
         objective_per_transfer_time: 1.5,
-        deadline_us: CLIENT_DEADLINE,
+        deadline_us: CLIENT_TIMEOUT_US,
         priority_weight: 1.0,
         late_weight: 0.1,
         idempotency: Idempotency::Idempotent,
         dedup_scope: DedupScope::All,
-        dedup_window_us: DEDUP_WINDOW,
+        dedup_window_us: DEDUP_WINDOW_US,
         streaming: false,
         multipart: true,
         is_write: false,
@@ -102,12 +103,12 @@
     }
 }
 
-/// The five classes of requests; see their names, such as [`VIDEO`].
+/// Returns the five classes of requests. Their names, such as [`VIDEO`], describe them.
 pub fn classes() -> Vec<Class> {
     vec![
         class(VIDEO),
         Class {
-            freshness_lifetime_us: PAGE_FRESHNESS_LIFETIME,
+            freshness_lifetime_us: PAGE_FRESHNESS_LIFETIME_US,
             ..class(PAGE)
         },
         Class {
@@ -127,45 +128,46 @@
     ]
 }
 
-/// The hub and two locations, each with one edge proxy.
+/// Returns the hub and two locations with one edge proxy each.
 pub fn zones() -> Vec<Zone> {
     let zone = |index: usize, edge_proxies, link_kb_per_s| Zone {
         name: ZONE_NAMES[index].into(),
         edge_proxies,
-        hub: HUB_ZONE,
+        hub: HUB_ZONE_INDEX,
         link_kb_per_s,
     };
     vec![
-        zone(HUB_ZONE, 0, 0.0),
-        zone(LOCAL_ZONE, 1, LINK_KB_PER_S),
-        zone(REMOTE_ZONE, 1, LINK_KB_PER_S),
+        zone(HUB_ZONE_INDEX, 0, 0.0),
+        zone(LOCAL_ZONE_INDEX, 1, LINK_KB_PER_S),
+        zone(REMOTE_ZONE_INDEX, 1, LINK_KB_PER_S),
     ]
 }
 
-/// The limits that a router must keep.
+/// Returns the limits that a router must keep.
 pub fn rules() -> Rules {
     Rules {
-        drain_grace_us: SECOND,
+        drain_grace_us: SECOND_US,
         warm_up_initial_share: 0.2,
-        warm_up_us: 10 * SECOND,
+        warm_up_us: 10 * SECOND_US,
         overload_multiple: 3.0,
-        overload_window_us: SECOND,
+        overload_window_us: SECOND_US,
         parent_warm_up_initial_share: 0.1,
-        parent_warm_up_us: 20 * SECOND,
+        parent_warm_up_us: 20 * SECOND_US,
         parent_overload_multiple: 2.0,
-        purge_grace_us: 500 * MILLISECOND,
-        purge_completion_us: PURGE_COMPLETION,
+        purge_grace_us: 500 * MILLISECOND_US,
+        purge_completion_us: PURGE_COMPLETION_US,
         poll_within_us: 0,
     }
 }
 
-/// The settings of a router in [`LOCAL_ZONE`]; tests change what they are about.
+/// Returns the settings of a router in [`LOCAL_ZONE_INDEX`]. Tests change the settings that they
+/// examine.
 pub fn settings() -> Settings {
     Settings {
         classes: classes(),
         tenants: vec![],
         zones: zones(),
-        zone: LOCAL_ZONE,
+        zone: LOCAL_ZONE_INDEX,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         poll_endpoint_list: false,
@@ -181,13 +183,13 @@
         cancellation: true,
         probing: false,
         retry_after: true,
-        max_retry_after_us: MAX_RETRY_AFTER,
+        max_retry_after_us: MAX_RETRY_AFTER_US,
         origin_overload_multiple: 2.5,
         rules: rules(),
     }
 }
 
-/// Settings where every request goes by way of a cache server.
+/// Returns settings where every request goes through a cache server.
 pub fn settings_without_direct_requests() -> Settings {
     Settings {
         direct_requests: false,
@@ -195,14 +197,14 @@
     }
 }
 
-/// Settings where what the link of the router's zone carries is unknown.
+/// Returns settings where the rate of the link of the router's zone is unknown.
 pub fn settings_with_unknown_link() -> Settings {
     let mut settings = settings();
-    settings.zones[LOCAL_ZONE].link_kb_per_s = 0.0;
+    settings.zones[LOCAL_ZONE_INDEX].link_kb_per_s = 0.0;
     settings
 }
 
-/// A ready server that started long ago, in a cell of its own.
+/// Returns a ready server that started long ago and has a cell of its own.
 pub fn endpoint(id: ServerId, zone: &str, kind: &str) -> Endpoint {
     Endpoint {
         id,
@@ -210,37 +212,37 @@
         cell: id,
         kind: kind.into(),
         weight: if kind == "parent" {
-            PARENT_CAPACITY
+            PARENT_CAPACITY_TRANSFERS
         } else {
-            CACHE_CAPACITY
+            CACHE_CAPACITY_TRANSFERS
         },
         state: EndpointState::Ready,
         started: None,
     }
 }
 
-/// A cache server of the router's own zone.
+/// Returns a cache server of the router's own zone.
 pub fn cache_server(id: ServerId) -> Endpoint {
-    endpoint(id, ZONE_NAMES[LOCAL_ZONE], "cache")
+    endpoint(id, ZONE_NAMES[LOCAL_ZONE_INDEX], "cache")
 }
 
-/// A cache server of another location.
+/// Returns a cache server of another location.
 pub fn remote_cache_server(id: ServerId) -> Endpoint {
-    endpoint(id, ZONE_NAMES[REMOTE_ZONE], "cache")
+    endpoint(id, ZONE_NAMES[REMOTE_ZONE_INDEX], "cache")
 }
 
-/// A parent.
+/// Returns a parent.
 pub fn parent(id: ServerId) -> Endpoint {
-    endpoint(id, ZONE_NAMES[HUB_ZONE], "parent")
+    endpoint(id, ZONE_NAMES[HUB_ZONE_INDEX], "parent")
 }
 
-/// An origin.
+/// Returns an origin.
 pub fn origin(id: ServerId) -> Endpoint {
-    endpoint(id, ZONE_NAMES[HUB_ZONE], "origin")
+    endpoint(id, ZONE_NAMES[HUB_ZONE_INDEX], "origin")
 }
 
-/// The four cache servers of the router's zone, one of another location, two parents and the
-/// origin.
+/// Returns the four cache servers of the router's zone, one of another location, two parents and
+/// the origin.
 pub fn fleet() -> Vec<Endpoint> {
     let mut endpoints: Vec<Endpoint> = CACHE_SERVERS.map(cache_server).into();
     endpoints.push(remote_cache_server(REMOTE_CACHE_SERVER));
@@ -249,7 +251,7 @@
     endpoints
 }
 
-/// The fleet with one server that started at this time.
+/// Returns the fleet with one server that started at this time.
 pub fn fleet_with_started(server: ServerId, started: Micros) -> Vec<Endpoint> {
     let mut endpoints = fleet();
     for endpoint in &mut endpoints {
@@ -260,21 +262,21 @@
     endpoints
 }
 
-/// The fleet with servers whose capacity never limits anything.
+/// Returns the fleet with servers whose capacity is never a bottleneck.
 pub fn fleet_with_unlimited_capacity() -> Vec<Endpoint> {
     let mut endpoints = fleet();
     for endpoint in &mut endpoints {
-        endpoint.weight = UNLIMITED_CAPACITY;
+        endpoint.weight = UNLIMITED_CAPACITY_TRANSFERS;
     }
     endpoints
 }
 
-/// One cache server of the router's zone, one parent and the origin.
+/// Returns one cache server of the router's zone, one parent and the origin.
 pub fn fleet_with_one_cache_server(id: ServerId) -> Vec<Endpoint> {
     vec![cache_server(id), parent(PARENTS[0]), origin(ORIGIN)]
 }
 
-/// The event that the endpoint list is this, as a whole.
+/// Returns the event that carries the whole endpoint list.
 pub fn endpoint_snapshot(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointList {
         mode: EndpointListMode::Snapshot,
@@ -282,7 +284,7 @@
     }
 }
 
-/// The event that these entries of the endpoint list have changed.
+/// Returns the event that carries changed entries of the endpoint list.
 pub fn endpoint_delta(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointList {
         mode: EndpointListMode::Delta,
@@ -290,7 +292,7 @@
     }
 }
 
-/// The event that an object was purged.
+/// Returns the event that an object was purged `age_us` microseconds ago.
 pub fn object_purge(object: &str, age_us: Micros) -> Event {
     Event::Purged {
         object: Some(object.into()),
@@ -300,7 +302,7 @@
     }
 }
 
-/// The event that a whole group was purged.
+/// Returns the event that a whole purge group was purged `age_us` microseconds ago.
 pub fn group_purge(group: u64, age_us: Micros) -> Event {
     Event::Purged {
         object: None,
@@ -310,7 +312,7 @@
     }
 }
 
-/// A client's request for the first part of an object.
+/// Returns a client's request for the first part of an object.
 pub fn request(id: RequestId, class: &str, object: &str) -> Request {
     Request {
         id,
@@ -320,7 +322,7 @@
         part: 0,
         group: GROUP,
         size_kb: PART_SIZE_KB,
-        remaining_us: CLIENT_DEADLINE,
+        remaining_us: CLIENT_TIMEOUT_US,
         is_retry: false,
     }
 }
@@ -330,18 +332,18 @@
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
-    /// Which attempt of the request, counted from 0.
+    /// The number of the attempt, counted from 0 for each request.
     pub number: u32,
     /// The server that the request is forwarded to.
     pub server: ServerId,
     /// How a miss is filled.
     pub fill: Fill,
-    /// The attempt's own time-out.
+    /// The time-out of the attempt. `None` if it ends only when the client gives up.
     pub timeout_us: Option<Micros>,
 }
 
 impl Attempt {
-    /// The first attempt of a request among these actions.
+    /// Returns the first attempt of a request among these actions, or `None` if there is none.
     pub fn first_in(actions: &[Action]) -> Option<Attempt> {
         actions.iter().find_map(|action| match action {
             Action::StartAttempt {
@@ -361,7 +363,7 @@
         })
     }
 
-    /// The retry of this attempt among these actions.
+    /// Returns the retry of this attempt among these actions, or `None` if there is none.
     pub fn retry_in(&self, actions: &[Action]) -> Option<Attempt> {
         Attempt::first_in(actions).map(|retry| Attempt {
             number: self.number + 1,
@@ -369,12 +371,12 @@
         })
     }
 
-    /// Whether a miss is filled; otherwise the server serves only what it has cached.
+    /// Returns whether a miss is filled. Otherwise the server serves only what it has cached.
     pub fn fills_a_miss(&self) -> bool {
         self.fill.source != self.server
     }
 
-    /// The action that cancels this attempt.
+    /// Returns the action that cancels this attempt.
     pub fn cancellation(&self) -> Action {
         Action::CancelAttempt {
             request: self.request,
@@ -382,13 +384,14 @@
         }
     }
 
-    /// A report that this attempt ended after 100 ms; see [`attempt_report`].
+    /// Returns a report that this attempt ended after 100 ms. See [`attempt_report`].
     pub fn report(&self, outcome: Outcome, fill_result: FillResult) -> AttemptReport {
         attempt_report(self.request, self.number, self.server, outcome, fill_result)
     }
 }
 
-/// A report that an attempt ended after 100 ms; the request is settled if it was served.
+/// Returns a report that an attempt ended after 100 ms. The request has its final answer if it was
+/// served.
 pub fn attempt_report(
     request: RequestId,
     attempt: u32,
@@ -401,7 +404,7 @@
         attempt,
         server,
         outcome,
-        took_us: 100 * MILLISECOND,
+        took_us: 100 * MILLISECOND_US,
         settled: outcome == Outcome::Ok,
         fill_result,
         fill_ttfb_us: 0,
@@ -409,47 +412,47 @@
     }
 }
 
-/// How many requests get their final answer from the router itself.
+/// Returns the number of final answers that the router gives itself.
 pub fn count_final_answers(actions: &[Action]) -> usize {
     let is_final = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is_final).count()
 }
 
-/// The cancellations among these actions.
+/// Returns the cancellations among these actions.
 pub fn cancellations(actions: Vec<Action>) -> Vec<Action> {
     let is_cancellation = |action: &Action| matches!(action, Action::CancelAttempt { .. });
     actions.into_iter().filter(is_cancellation).collect()
 }
 
-/// A request that was handed to the router, and the actions that came back.
+/// A request that was submitted to the router, with the actions that the router returned.
 #[derive(Debug)]
 pub struct Submission {
     /// The request.
     pub request: RequestId,
-    /// What the router wants done.
+    /// The actions that the router returned.
     pub actions: Vec<Action>,
 }
 
 impl Submission {
-    /// The attempt that was started for the request, if any.
+    /// Returns the attempt that was started for the request, or `None` if there is none.
     pub fn attempt(&self) -> Option<Attempt> {
         Attempt::first_in(&self.actions)
     }
 }
 
-/// A router that has been given this endpoint list at this time.
+/// Creates a router that has received this endpoint list at this time.
 pub fn router_with_endpoints(
     settings: Settings,
     seed: u64,
     now: Micros,
     endpoints: Vec<Endpoint>,
 ) -> Router {
-    let mut router = Router::new(settings, seed).expect("valid settings");
+    let mut router = Router::new(settings, seed).expect("the settings are valid");
     router.handle(now, endpoint_snapshot(endpoints), &mut Vec::new());
     router
 }
 
-/// A router with a clock that the test moves, and a counter for request ids.
+/// A router with a clock that the test advances, and a counter for request ids.
 pub struct Harness {
     /// The router under test.
     pub router: Router,
@@ -459,56 +462,56 @@
 }
 
 impl Harness {
-    /// Seed of the router's randomness.
+    /// The seed of the router's pseudo-random numbers.
     const SEED: u64 = 7;
 
-    /// A router that has been given this endpoint list.
+    /// Creates a router that has received this endpoint list.
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Harness {
         Harness {
-            router: router_with_endpoints(settings, Harness::SEED, START_TIME, endpoints),
-            now: START_TIME,
+            router: router_with_endpoints(settings, Harness::SEED, START_TIME_US, endpoints),
+            now: START_TIME_US,
             next_request_id: 1,
         }
     }
 
-    /// A router with the settings and the fleet of this module.
+    /// Creates a router with [`settings`] and [`fleet`].
     pub fn with_defaults() -> Harness {
         Harness::new(settings(), fleet())
     }
 
-    /// Moves the clock forward; no timer fires by itself.
-    pub fn advance(&mut self, duration: Micros) {
-        self.now += duration;
+    /// Advances the clock. No timer fires by itself.
+    pub fn advance(&mut self, duration_us: Micros) {
+        self.now += duration_us;
     }
 
-    /// Hands the router an event and returns what it wants done.
+    /// Sends an event to the router and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Lets the router's recurring sweep timer fire.
+    /// Fires the router's recurring sweep timer and returns the actions.
     pub fn sweep(&mut self) -> Vec<Action> {
         self.handle(Event::Timer {
             tag: SWEEP_TIMER_TAG,
         })
     }
 
-    /// Moves the clock forward, lets the sweep timer fire, and returns the cancellations.
-    pub fn cancellations_after(&mut self, duration: Micros) -> Vec<Action> {
-        self.advance(duration);
+    /// Advances the clock, fires the sweep timer and returns the cancellations.
+    pub fn cancellations_after(&mut self, duration_us: Micros) -> Vec<Action> {
+        self.advance(duration_us);
         cancellations(self.sweep())
     }
 
-    /// A request under the next id, not yet submitted.
+    /// Returns a request with the next id, without submitting it.
     pub fn next_request(&mut self, class: &str, object: &str) -> Request {
         let id = self.next_request_id;
         self.next_request_id += 1;
         request(id, class, object)
     }
 
-    /// Submits a request that a test has adapted.
+    /// Submits a request that the test has created or changed.
     pub fn submit_request(&mut self, request: Request) -> Submission {
         Submission {
             request: request.id,
@@ -522,12 +525,12 @@
         self.submit_request(request)
     }
 
-    /// Submits a request and expects that it is forwarded.
+    /// Submits a request and returns its attempt. Panics if the request is not forwarded.
     pub fn forward(&mut self, class: &str, object: &str) -> Attempt {
         let submission = self.submit(class, object);
         submission
             .attempt()
-            .unwrap_or_else(|| panic!("no attempt in {submission:?}"))
+            .unwrap_or_else(|| panic!("the request was not forwarded: {submission:?}"))
     }
 
     /// Reports how an attempt ended.
@@ -535,7 +538,7 @@
         self.handle(Event::AttemptEnded(report))
     }
 
-    /// Ends an attempt, with provenance.
+    /// Ends an attempt with this fill result.
     pub fn finish_with(
         &mut self,
         attempt: &Attempt,
@@ -545,7 +548,7 @@
         self.report(attempt.report(outcome, fill_result))
     }
 
-    /// Ends an attempt, without provenance.
+    /// Ends an attempt without reporting a fill result.
     pub fn finish(&mut self, attempt: &Attempt, outcome: Outcome) -> Vec<Action> {
         self.finish_with(attempt, outcome, FillResult::Unknown)
     }
@@ -555,7 +558,7 @@
         self.finish_with(attempt, Outcome::Ok, FillResult::Hit);
     }
 
-    /// Ends an attempt, with provenance, and returns its retry, if there is one.
+    /// Ends an attempt with this fill result. Returns its retry, or `None` if there is none.
     pub fn retry_with(
         &mut self,
         attempt: &Attempt,
@@ -566,25 +569,27 @@
         attempt.retry_in(&actions)
     }
 
-    /// Ends an attempt, without provenance, and returns its retry, if there is one.
+    /// Ends an attempt without reporting a fill result. Returns its retry, or `None` if there is
+    /// none.
     pub fn retry(&mut self, attempt: &Attempt, outcome: Outcome) -> Option<Attempt> {
         self.retry_with(attempt, outcome, FillResult::Unknown)
     }
 
-    /// The client of this request disconnects.
+    /// Reports that the client of a request has disconnected.
     pub fn disconnect(&mut self, request: RequestId) -> Vec<Action> {
         self.handle(Event::ClientDisconnected { request })
     }
 
-    /// Submits a request and expects that it is forwarded and served as a cache hit.
+    /// Submits a request, serves it as a cache hit and returns the attempt. Panics if the request
+    /// is not forwarded.
     pub fn serve_hit(&mut self, class: &str, object: &str) -> Attempt {
         let attempt = self.forward(class, object);
         self.finish_as_hit(&attempt);
         attempt
     }
 
-    /// Submits a request for each of `count` objects and serves what is forwarded as a cache hit;
-    /// returns the servers that were chosen.
+    /// Submits a request for each of `count` objects and serves the forwarded requests as cache
+    /// hits. Returns the servers that the requests were forwarded to.
     pub fn servers_of_objects(&mut self, count: usize) -> Vec<ServerId> {
         let mut servers = Vec::new();
         for index in 0..count {
--- a/crates/routing/tests/unexpected_input.rs
+++ b/crates/routing/tests/unexpected_input.rs
@@ -1,4 +1,4 @@
-//! Unknown ids, unknown names and absurd figures in events do no harm.
+//! Unexpected input: unknown ids, unknown names and absurd numbers in events do no harm.
 
 mod support;
 use edge_routing::*;
@@ -8,8 +8,8 @@
 const UNKNOWN_REQUEST: RequestId = 999;
 const UNKNOWN_SERVER: ServerId = 777;
 
-/// The rejection of a request whose class the settings do not name: nothing is known of its
-/// retries.
+/// Returns the rejection of a request of an unknown class. It has no Retry-After because the
+/// settings of the class are unknown.
 fn rejection_without_retry_after(request: RequestId) -> Action {
     Action::Reject {
         request,
@@ -17,6 +17,8 @@
     }
 }
 
+/// Guards against panics and wrong actions from late or duplicate events: their request has its
+/// final answer already, or their server has left.
 #[test]
 fn events_about_unknown_requests_servers_and_timers_are_ignored() {
     let mut harness = Harness::with_defaults();
@@ -79,8 +81,11 @@
     );
 }
 
+/// Guards against a request without a final answer after the proxy and the router received
+/// different settings, and against a delta that is ignored because the router does not know its
+/// server yet.
 #[test]
-fn unknown_classes_are_rejected_and_changes_of_unknown_servers_are_accepted() {
+fn requests_of_unknown_classes_are_rejected_and_changes_of_unknown_servers_are_applied() {
     const GONE: ServerId = 77;
     const NEW: ServerId = 78;
     let mut harness = Harness::with_defaults();
@@ -98,21 +103,27 @@
     let servers: BTreeSet<ServerId> = (0..60)
         .map(|index| harness.forward(PAGE, &format!("/o/{index}")).server)
         .collect();
-    assert!(!servers.contains(&GONE), "it is gone");
-    assert!(servers.contains(&NEW), "it is ready");
+    assert!(
+        !servers.contains(&GONE),
+        "the endpoint list says that the server is gone"
+    );
+    assert!(
+        servers.contains(&NEW),
+        "the endpoint list says that the server is ready"
+    );
     assert!(
         !servers.contains(&REMOTE_CACHE_SERVER),
-        "a cache server of another location"
+        "a cache server of another location takes no requests"
     );
 }
 
-/// The attempts of 50 requests, each served as a cache hit with this load report.
+/// Returns the attempts of 50 requests that are each served as a cache hit with this load report.
 fn attempts_with_load_report(load: Option<LoadReport>) -> Vec<Attempt> {
     let mut harness = Harness::with_defaults();
     let mut attempts = Vec::new();
     for index in 0..50 {
         let attempt = harness.forward(VIDEO, &format!("/o/{index}"));
-        harness.advance(10 * MILLISECOND);
+        harness.advance(10 * MILLISECOND_US);
         harness.report(AttemptReport {
             load,
             ..attempt.report(Outcome::Ok, FillResult::Hit)
@@ -122,8 +133,10 @@
     attempts
 }
 
+/// Guards against NaN, infinite or negative values from a faulty server that distort the choice of
+/// a server.
 #[test]
-fn absurd_load_reports_change_nothing() {
+fn absurd_load_reports_do_not_change_the_attempts() {
     let without_reports = attempts_with_load_report(None);
     for value in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
         let report = LoadReport {
@@ -135,7 +148,7 @@
         assert_eq!(
             attempts_with_load_report(Some(report)),
             without_reports,
-            "{value}"
+            "a load report of {value} changed the attempts"
         );
     }
 }
