--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -42,7 +42,7 @@
     /// in the sense of the design. Judged by the transfers in flight and the capacity that its
     /// answers showed.
     pub(super) fn meets_objective(&self, server: &ServerState) -> bool {
-        let warm = server.warm_up_fraction(self.now);
+        let warm = server.warm_up_capacity_share(self.now);
         let capacity = self.shown_capacity(server) * warm;
         let sharing = (server.transfers_in_flight.total() + 1.0) / capacity;
         let expected_us = (self.request.transfer_s * sharing.max(1.0) * 1e6) as Micros;
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -86,7 +86,7 @@
             transfers_at_server: in_flight + 1.0,
             fills_on_link: self.link.fills_in_flight.total() + 1.0,
             group_recently_purged: self.purges.group_purged_within(
-                request.group,
+                request.purge_group,
                 now,
                 completion_us,
             ),
@@ -114,7 +114,7 @@
         // after the servers had dropped theirs.
         let since_purge_us =
             self.purges
-                .time_since_purge_us(now, request.object_hash, request.group);
+                .time_since_purge_us(now, request.object_hash, request.purge_group);
         let lifetime_us = class.lifetime_us();
         // Drawn once for a request, so that retries are no further chances.
         let admitted = self
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -13,7 +13,7 @@
     pub(super) fn slow_start_allows(&self, server: &ServerState, transfer_s: f64) -> bool {
         let window_us = self.router.settings.rules.overload_window_us;
         let window_start = self.now.saturating_sub(window_us);
-        let fraction = server.warm_up_fraction(window_start);
+        let fraction = server.warm_up_capacity_share(window_start);
         if fraction >= 1.0 || server.role == Role::Origin {
             return true;
         }
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -104,7 +104,7 @@
     /// The hash of the part of the object.
     pub(crate) part_hash: u64,
     /// The purge group of the object.
-    pub(crate) group: u64,
+    pub(crate) purge_group: u64,
     /// The time in seconds that the transfer takes if it does not share its link.
     pub(crate) transfer_s: f64,
     /// `transfer_s` was computed from the size of the part. Otherwise it is the typical transfer
@@ -161,7 +161,7 @@
             class_index,
             object_hash,
             part_hash: hash::part(object_hash, request.part),
-            group: request.group,
+            purge_group: request.group,
             transfer_s,
             objective_deadline: now + class.latency_objective_us + size_allowance_us,
             client_deadline: now + request.remaining_us,
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -94,7 +94,7 @@
     /// Returns the share of its capacity, from 0 to 1, that the server is certain to have at a
     /// time. The share grows linearly from the start of the server, or from its recovery if it was
     /// unreachable.
-    pub(crate) fn warm_up_fraction(&self, at: Micros) -> f64 {
+    pub(crate) fn warm_up_capacity_share(&self, at: Micros) -> f64 {
         let WarmUp {
             initial_share,
             time_us,
@@ -108,7 +108,7 @@
 
     /// Returns whether the server may not have its full capacity yet.
     pub(crate) fn is_warming_up(&self, now: Micros) -> bool {
-        self.warm_up_fraction(now) < 1.0
+        self.warm_up_capacity_share(now) < 1.0
     }
 
     /// Returns the total transfer time in seconds that was charged to the server from `since` on.
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -215,8 +215,11 @@
     };
     servers.update(EndpointListMode::Delta, vec![restarted], &settings());
     let server = servers.get(1).expect("server 1 is in the endpoint list");
-    let fraction = |after_s: u64| server.warm_up_fraction((20 + after_s) * SECOND_US);
-    assert_eq!((fraction(0), fraction(5), fraction(10)), (0.25, 0.625, 1.0));
+    let capacity_share = |after_s: u64| server.warm_up_capacity_share((20 + after_s) * SECOND_US);
+    assert_eq!(
+        (capacity_share(0), capacity_share(5), capacity_share(10)),
+        (0.25, 0.625, 1.0)
+    );
     assert!(server.is_warming_up(29 * SECOND_US));
     assert!(!server.is_warming_up(31 * SECOND_US));
     assert!(servers
