--- a/crates/proxy/src/discovery/endpoint_entry.rs
+++ b/crates/proxy/src/discovery/endpoint_entry.rs
@@ -57,7 +57,7 @@
                 kind: entry.kind.unwrap_or_default(),
                 weight: entry.weight.unwrap_or(1.0),
                 state: entry.state,
-                started: Some(started_us).filter(|started| *started > 0),
+                started_at: Some(started_us).filter(|started| *started > 0),
             },
             wire_id: entry.wire_id,
             address: entry.address,
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -211,13 +211,13 @@
     /// Puts the starts of listed servers on the scale of the loop's clock.
     fn convert_starts(&mut self, now: Micros, entries: &mut [ListedServer]) {
         let mut moved_us = 0;
-        for started in entries.iter().filter_map(|entry| entry.endpoint.started) {
+        for started in entries.iter().filter_map(|entry| entry.endpoint.started_at) {
             moved_us += self.reference_time.event_arrived(now, started);
         }
         self.move_times_back(now, moved_us);
         for entry in entries {
-            let started = entry.endpoint.started;
-            entry.endpoint.started = started.map(|at| self.reference_time.to_local(at));
+            let started = entry.endpoint.started_at;
+            entry.endpoint.started_at = started.map(|at| self.reference_time.to_local(at));
         }
     }
 
@@ -225,7 +225,7 @@
     fn move_times_back(&mut self, now: Micros, by_us: Micros) {
         if by_us > 0 {
             log::debug!("the fleet's time is {by_us} us further ahead than it was known to be");
-            self.handle_event(now, Event::TimesMovedBack { by_us });
+            self.handle_event(now, Event::TimestampsMovedEarlier { by_us });
         }
     }
 
--- a/crates/proxy/src/upstream/command.rs
+++ b/crates/proxy/src/upstream/command.rs
@@ -125,7 +125,7 @@
     let flags = [
         (fill.coalesce, wire::COALESCE),
         (fill.only_if_cached, wire::ONLY_IF_CACHED),
-        (fill.bypass_parent, wire::BYPASS_PARENT),
+        (fill.parent_no_store, wire::BYPASS_PARENT),
         (fill.background_refresh, wire::BACKGROUND_REFRESH),
     ];
     let set = flags.into_iter().filter(|(is_set, _)| *is_set);
--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -58,10 +58,10 @@
     };
     let (full, bare) = (&servers[0].endpoint, &servers[1].endpoint);
     assert_eq!((full.zone.as_str(), full.kind.as_str()), ("east", "std"));
-    assert_eq!((full.cell, full.weight, full.started), (2, 4.0, None));
+    assert_eq!((full.cell, full.weight, full.started_at), (2, 4.0, None));
     assert_eq!((bare.zone.as_str(), bare.kind.as_str()), ("", ""));
     assert_eq!(
-        (bare.cell, bare.weight, bare.started),
+        (bare.cell, bare.weight, bare.started_at),
         (0, 1.0, Some(12_000))
     );
 }
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -24,7 +24,7 @@
             kind: kind.to_owned(),
             weight: 8.0,
             state,
-            started: None,
+            started_at: None,
         },
         wire_id: uid.to_owned(),
         address: ([127, 0, 0, 1], 9).into(),
--- a/crates/proxy/tests/support/upstream.rs
+++ b/crates/proxy/tests/support/upstream.rs
@@ -243,7 +243,7 @@
             kind: kind.into(),
             weight: 8.0,
             state: EndpointState::Ready,
-            started: None,
+            started_at: None,
         },
         wire_id: "a".into(),
         address: ([127, 0, 0, 1], 9).into(),
--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,28 +1,29 @@
-//! What a router wants done.
+//! The actions that a router requests from its caller.
 
 use crate::event::{RequestId, ServerId};
 use crate::settings::Micros;
 
-/// How a miss is filled, and what is kept.
+/// How a cache server fills a miss, and how it keeps the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fill {
-    /// Where from; the server itself: no fill.
+    /// The server that the copy comes from. The attempt's own server means that a miss is not
+    /// filled.
     pub source: ServerId,
-    /// Rank at which the copy is kept, 1 to 3; 0: not kept.
+    /// Rank at which the copy is kept, from 1 to 3; 0 if it is not kept.
     pub retention_rank: u8,
-    /// Oldest copy that will do; none: the class's freshness lifetime.
+    /// Largest acceptable age of a copy, or None for the freshness lifetime of the class.
     pub max_age_us: Option<Micros>,
-    /// Wait for a fill that is under way (collapsed forwarding).
+    /// Whether to wait for a fill of the same object in progress (collapsed forwarding).
     pub coalesce: bool,
-    /// The source gives only what it has cached.
+    /// Whether the source answers only with what it has cached.
     pub only_if_cached: bool,
-    /// The parent keeps no copy.
-    pub bypass_parent: bool,
-    /// Renew an ageing copy in the background.
+    /// Whether the parent answers without keeping a copy.
+    pub parent_no_store: bool,
+    /// Whether to renew an ageing copy in the background.
     pub background_refresh: bool,
 }
 
-/// What a router wants done.
+/// An action that a router requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Forward a request to a server.
@@ -31,47 +32,48 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Time-out; none: until the client gives up.
+        /// Time limit of the attempt, or None to wait until the client gives up.
         timeout_us: Option<Micros>,
-        /// How a miss is filled; none: only what the server has cached.
+        /// How a miss is filled, or None if the server may only use what it has cached.
         fill: Option<Fill>,
-        /// It must not begin later: then it counts as if it had never been sent.
+        /// Latest time to send the attempt, or None for no limit. An attempt that cannot be sent by
+        /// then counts as never sent.
         send_by: Option<Micros>,
     },
     /// Cancel an attempt.
     CancelAttempt {
         /// The request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; retrying is harmless.
+    /// Give the final answer that the request is rejected and a retry is safe.
     Reject {
         /// The request.
         request: RequestId,
-        /// When to retry; none: no advice.
+        /// Time after which to retry (Retry-After), or None for no advice.
         retry_after_us: Option<Micros>,
     },
-    /// Final answer: failed.
+    /// Give the final answer that the request failed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Wake the router.
+    /// Set a timer, which ends with [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// When.
+        /// When the timer expires.
         at: Micros,
-        /// Comes back with [`Event::Timer`](crate::Event::Timer).
+        /// Tag that the event carries.
         tag: u64,
     },
-    /// Ask a server for its load.
+    /// Request a load report from a server.
     Probe {
         /// The server.
         server: ServerId,
     },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log {
         /// The line.
         line: String,
@@ -79,12 +81,12 @@
 }
 
 impl Action {
-    /// Wake the router at this time, with this tag.
+    /// Returns the action that sets a timer.
     pub(crate) fn set_timer(at: Micros, tag: u64) -> Self {
         Action::SetTimer { at, tag }
     }
 
-    /// The final answer that a request is rejected, with this advice when to retry.
+    /// Returns the final answer that rejects a request. `retry_after_us` is None for no advice.
     pub(crate) fn reject(request: RequestId, retry_after_us: Option<Micros>) -> Self {
         Action::Reject {
             request,
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -2,19 +2,19 @@
 
 use crate::settings::Micros;
 
-/// A cache server, parent or origin, by the id that the endpoint list gives it.
+/// The id of a cache server, parent or origin in the endpoint list.
 pub type ServerId = u64;
-/// A client's request, by a number that is never used twice.
+/// The id of a client's request. Ids are never reused.
 pub type RequestId = u64;
 
-/// Where a server is in its life.
+/// The lifecycle state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes work.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The server finishes the requests that it has and accepts no others.
     Draining,
-    /// It is gone.
+    /// The server no longer exists.
     #[default]
     Gone,
 }
@@ -24,79 +24,79 @@
 pub struct Endpoint {
     /// The server's id.
     pub id: ServerId,
-    /// Name of its zone.
+    /// Name of the server's zone.
     pub zone: String,
-    /// Its cell: servers that share which idempotency keys they have seen.
+    /// The server's cell. Servers of a cell share the idempotency keys that they have received.
     pub cell: u64,
-    /// Its kind.
+    /// Name of the server's kind.
     pub kind: String,
-    /// Its size; see [`Settings::weights_known`](crate::Settings::weights_known).
+    /// The server's capacity; see [`Settings::weights_known`](crate::Settings::weights_known).
     pub weight: f64,
-    /// Where it is in its life.
+    /// The server's lifecycle state.
     pub state: EndpointState,
-    /// When it last started; none: long ago.
-    pub started: Option<Micros>,
+    /// When the server last started, or None if that was long ago.
+    pub started_at: Option<Micros>,
 }
 
-/// How much of the endpoint list an event carries.
+/// How much of the endpoint list an event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListMode {
-    /// All of it; a server that is not named is gone.
+    /// The complete list. Servers that are not in it are gone.
     Snapshot,
     /// Changed entries only.
     Delta,
-    /// The poll for it failed.
+    /// Nothing, because the poll for the list failed.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// Its tenant.
+    /// Name of the tenant, or None if the request has none.
     pub tenant: Option<String>,
-    /// The object asked for.
+    /// Name of the requested object.
     pub object: String,
-    /// Which part of the object.
+    /// Number of the requested part of the object.
     pub part: u64,
-    /// The object's group, as purges may name it.
+    /// The purge group of the object.
     pub group: u64,
-    /// Size of this part in KB; 0: unknown.
+    /// Size of this part in KB; 0 if unknown.
     pub size_kb: f64,
     /// Time until the client gives up.
     pub remaining_us: Micros,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server answered the request.
     Ok,
-    /// The server failed it; it may have run.
+    /// The server failed the request, which may have taken effect.
     Error,
-    /// Rejected unseen, or the source of its fill rejected.
+    /// The server rejected the request without processing it, or the source rejected the fill.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer arrived in time. The request may have taken effect, or may still do so.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection was established, so the request had no effect.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have taken effect.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. The request may have taken effect.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// No copy that will do, and none was filled.
+    /// The server has no acceptable copy, and none was filled.
     Miss,
 }
 
 impl Outcome {
-    /// The request surely had no effect.
+    /// Returns whether it is certain that the request had no effect.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -105,35 +105,35 @@
     }
 }
 
-/// How an answer was made, or why a fill failed.
+/// Where an answer came from, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillResult {
     /// Not reported.
     Unknown,
-    /// Found in the cache.
+    /// From a copy in the cache.
     Hit,
     /// Filled from the source's copy.
     Filled,
-    /// Filled by way of the origin.
+    /// Filled from the origin, directly or through a parent.
     FilledFromOrigin,
-    /// Waited for a fill that was under way.
+    /// From a fill in progress that the request waited for.
     Coalesced,
-    /// A copy past its freshness lifetime.
+    /// From a copy past its freshness lifetime.
     Stale,
     /// The source rejected the fill.
     SourceRejected,
-    /// The source was not reached, broke off or was too slow.
+    /// The source could not be reached, broke the connection or was too slow.
     SourceUnreachable,
-    /// The source lacks the object.
+    /// The source does not have the object.
     SourceMiss,
-    /// All slots for fills are taken in the cache server.
+    /// All fill slots of the cache server are in use.
     NoFillSlot,
-    /// The origin failed behind the parent.
+    /// The origin behind the parent failed.
     OriginFailed,
 }
 
 impl FillResult {
-    /// The source of the fill, or the origin behind it, failed.
+    /// Returns whether the source of the fill, or the origin behind it, failed.
     pub(crate) fn source_failed(self) -> bool {
         matches!(
             self,
@@ -142,117 +142,118 @@
     }
 }
 
-/// A server's report of its load; values that it does not report are absent.
+/// A server's report of its load. Values that the server does not report are None.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How busy its cores are, from 0 to 1.
+    /// Utilization of the server's cores, from 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Requests in flight at it.
+    /// Requests in flight at the server.
     pub in_flight: Option<f64>,
-    /// Its recent share of hits.
+    /// The server's recent share of cache hits, from 0 to 1.
     pub hit_ratio: Option<f64>,
-    /// Of a cache server: how busy its location's link is. Of a parent: fetches in flight.
+    /// For a cache server, the utilization of its location's link. For a parent, the number of
+    /// fetches in flight.
     pub link_utilization: Option<f64>,
 }
 
-/// What happened, as a router is notified of it.
+/// An event that a router handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list, or changes to it.
     EndpointList {
-        /// How much of it.
+        /// How much of the list `endpoints` contains.
         mode: EndpointListMode,
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request; the router owes it one final answer.
+    /// A client's request, which the router must give one final answer.
     Request(Request),
-    /// A streamed answer has begun.
+    /// The streamed answer of an attempt has begun.
     StreamStarted {
         /// The request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt ended.
     AttemptEnded(AttemptReport),
-    /// The client disconnected: no answer is owed any more.
+    /// The client disconnected, so its request needs no answer any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer came due.
+    /// A timer expired.
     Timer {
-        /// As given in [`Action::SetTimer`](crate::Action::SetTimer).
+        /// The tag that [`Action::SetTimer`](crate::Action::SetTimer) gave the timer.
         tag: u64,
     },
     /// A probe ended.
     ProbeEnded {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         took_us: Micros,
-        /// The server's report.
+        /// The server's load report, or None if it sent none.
         load: Option<LoadReport>,
     },
-    /// The times of purges that are not permanent and of the starts of servers, so far as they came
-    /// before, turn out to lie further back on this router's clock.
-    TimesMovedBack {
-        /// By how much, in microseconds.
+    /// Timestamps that were already reported were too late on this router's clock and move earlier.
+    /// This applies to server starts and to purges that are not permanent.
+    TimestampsMovedEarlier {
+        /// How far the timestamps move, in microseconds.
         by_us: Micros,
     },
-    /// An object, or with no object a whole group, was purged.
+    /// An object or a whole group was purged.
     Purged {
-        /// The object.
+        /// Name of the object, or None for the whole group.
         object: Option<String>,
-        /// Its group.
+        /// The purge group.
         group: u64,
         /// Time since the purge.
         age_us: Micros,
-        /// The servers are not notified of it: they drop nothing by themselves, so it holds for
-        /// good.
+        /// Whether the purge never expires. Servers are not notified of such a purge and do not
+        /// drop their copies by themselves.
         permanent: bool,
     },
 }
 
-/// How an attempt ended.
+/// The report that an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReport {
     /// The request.
     pub request: RequestId,
-    /// Which attempt, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
-    /// The server tried.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub took_us: Micros,
-    /// The request has its final answer.
+    /// Whether the request needs no further answer.
     pub settled: bool,
-    /// How the answer was made.
+    /// Where the answer came from, or why the fill failed.
     pub fill_result: FillResult,
     /// Time to first byte of the fill.
     pub fill_ttfb_us: Micros,
-    /// The server's report.
+    /// The server's load report, or None if it sent none.
     pub load: Option<LoadReport>,
 }
 
 impl AttemptReport {
-    /// Time since it was sent, in seconds.
+    /// Returns the time since the attempt was sent, in seconds.
     pub(crate) fn took_s(&self) -> f64 {
         self.took_us as f64 / 1e6
     }
 
-    /// Served from the server's own copy.
+    /// Returns whether the attempt was answered from the server's own copy.
     pub(crate) fn is_hit(&self) -> bool {
         self.outcome == Outcome::Ok
             && matches!(self.fill_result, FillResult::Hit | FillResult::Stale)
     }
 
-    /// Served from a copy that was filled for it.
+    /// Returns whether the attempt was answered from a copy that was filled for it.
     pub(crate) fn is_filled(&self) -> bool {
         let filled = [FillResult::Filled, FillResult::FilledFromOrigin];
         self.outcome == Outcome::Ok && filled.contains(&self.fill_result)
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,12 @@
-//! The decisions of an edge proxy in front of cache servers for large objects behind narrow links:
-//! which cache server a request goes to, where a miss is filled from, what is cached, and what
-//! happens when things fail.
+//! Routing decisions of an edge proxy in front of cache servers that serve large objects over
+//! low-bandwidth links: which cache server receives a request, which source fills a miss, what is
+//! cached, and how failures are handled.
 //!
-//! The library is sans-IO. A proxy feeds a [`Router`] with events and carries out the actions that
-//! come back; time is the `now` of each call, and randomness comes from the seed alone.
+//! The library is sans-IO. A proxy passes events to a [`Router`] and carries out the actions that
+//! it returns. The current time is the `now` of each call, and all randomness comes from the seed.
 //!
-//! Inside, `policy` holds every decision and tuning constant, `state` the facts that it decides by,
-//! and `estimate` the statistics, which know nothing of either.
+//! The module `policy` contains all decisions and tuning constants, `state` the facts that they are
+//! based on, and `estimate` the statistics, which depend on neither of them.
 //!
 //! ```
 //! use edge_routing::*;
@@ -73,7 +73,7 @@
 //! let mut router = Router::new(settings.clone(), 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list of servers: one cache here, and the origin at the hub.
+//! // The endpoint list contains a cache in the router's own zone and the origin at the hub.
 //! let server = |id, zone: &str, kind: &str| Endpoint {
 //!     id,
 //!     zone: zone.into(),
@@ -81,7 +81,7 @@
 //!     kind: kind.into(),
 //!     weight: 8.0,
 //!     state: EndpointState::Ready,
-//!     started: None,
+//!     started_at: None,
 //! };
 //! let servers = vec![server(1, "town", "cache"), server(9, "hub", "origin")];
 //! router.handle(
@@ -93,7 +93,7 @@
 //!     &mut actions,
 //! );
 //!
-//! // A request: the router names the cache, and the origin as the source of a fill.
+//! // The router sends a request to the cache, with the origin as the fill source.
 //! actions.clear();
 //! let request = Request {
 //!     id: 7,
@@ -117,7 +117,7 @@
 //!     }
 //! ));
 //!
-//! // Its outcome: the client has its answer, nothing is left to do.
+//! // The attempt ends with the client's answer, so the router requests no further action.
 //! actions.clear();
 //! let outcome = Event::AttemptEnded(AttemptReport {
 //!     request: 7,
@@ -133,7 +133,7 @@
 //! router.handle(241_000, outcome, &mut actions);
 //! assert!(actions.is_empty());
 //!
-//! // Unusable settings are an error at the start.
+//! // Invalid settings are rejected when the router is created.
 //! settings.classes.clear();
 //! assert_eq!(
 //!     Router::new(settings, 42).err(),
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -1,133 +1,164 @@
-//! What caches, the location's link and the origin carry in time, and the load shedding beyond.
+//! Admission: what caches, the location's link and the origin can serve in time, and load shedding
+//! of the requests beyond that.
 
-use super::{replication::Selection, retry::OVERHEAD_S, Router};
+use super::{replication::Selection, retry::ANSWER_OVERHEAD_S, Router};
 use crate::action::Action;
 use crate::event::{EndpointState, FillResult, RequestId};
 use crate::settings::{DedupScope, Idempotency, Micros};
 use crate::state::{RequestState, Role, ServerState};
 
-/// Part of the time left that a transfer from a cache may be expected to take: the load is a guess,
-/// all routers act on the same one, and more transfers come while this one runs.
-const CACHE_MARGIN: f64 = 0.75;
-/// Part of the time left that a fill may need on the location's link: late fills cost all requests.
-const LINK_MARGIN: f64 = 0.4;
-/// The same where sizes are unknown: a class is refused as a whole, so a little later.
-const UNSIZED_MARGIN: f64 = 0.5;
-const STRETCHED: f64 = 1.3; // Stretch of transfers from which they overload the link they share.
-const LINK_PACE_LIFETIME_US: Micros = 1_500_000; // Microseconds for which fills tell of the link.
-const MIN_SHOWN_CAPACITY: f64 = 0.2; // Least capacity that hits may show, in transfers.
-const MIN_LINK_CAPACITY: f64 = 1e-3; // Least capacity of the location's link, in transfers.
-const FILL_AFTER: f64 = 1.5; // Transfer times after which an attempt is taken to wait for a fill.
-const LATE_FACTOR: f64 = 0.85; // On the share that may have the origin asked, if it is late.
-const MAX_LATE_FACTORS: f64 = 3.0; // How often it applies at most: a long queue is slow to show.
-const IN_TIME_STEP: f64 = 0.04; // Added to that share with each answer of the origin in time.
-/// Added to it with each sweep: a router with few fills would not see for long that all is well.
-pub(super) const SWEEP_STEP: f64 = 0.005;
-pub(super) const MIN_ADMITTED: f64 = 0.05; // Least such share: it finds out whether all is well.
-const RETRY_AFTER_US: Micros = 200_000; // Microseconds: short, so that a retry can be in time.
+/// Largest share of the remaining time that a transfer from a cache may be expected to take. The
+/// rest is a margin: the load is an estimate, all routers act on the same estimate, and more
+/// transfers start while this one runs.
+const MAX_CACHE_TIME_SHARE: f64 = 0.75;
+/// Largest share of the remaining time that a fill may need on the location's link. Late fills
+/// affect all requests, because they share the link.
+const MAX_LINK_TIME_SHARE: f64 = 0.4;
+/// Replaces [`MAX_LINK_TIME_SHARE`] for requests of unknown size. It is higher, because all these
+/// requests of a class are refused together.
+const MAX_LINK_TIME_SHARE_UNKNOWN_SIZE: f64 = 0.5;
+/// Stretch (actual transfer time divided by the time without sharing) from which on transfers
+/// overload the link that they share.
+const OVERLOAD_STRETCH_FACTOR: f64 = 1.3;
+/// Time after the last fill during which the pace of fills shows the link's capacity.
+const LINK_PACE_MAX_AGE_US: Micros = 1_500_000;
+/// Lower bound of the server capacity that is derived from hits, in transfers at full rate.
+const MIN_OBSERVED_CAPACITY_TRANSFERS: f64 = 0.2;
+/// Lower bound of the capacity of the location's link, in transfers at full rate.
+const MIN_LINK_CAPACITY_TRANSFERS: f64 = 1e-3;
+/// Number of transfer times after which an attempt counts as waiting for a fill.
+const FILL_WAIT_TRANSFER_TIMES: f64 = 1.5;
+/// Factor by which a late or failed fill from the origin lowers the share of admitted requests.
+const ORIGIN_ADMISSION_LATE_FACTOR: f64 = 0.85;
+/// How many times a single fill applies that factor at most. Later fills apply it more often,
+/// because a long queue at the origin takes long to become visible.
+const MAX_ORIGIN_ADMISSION_LATE_FACTORS: f64 = 3.0;
+/// Added to the share of admitted requests for each fill that the origin answers in time.
+const ORIGIN_ADMISSION_SUCCESS_STEP: f64 = 0.04;
+/// Added to the share of admitted requests on each sweep. Without it, a router with few fills would
+/// take long to notice that the origin has recovered.
+pub(super) const ORIGIN_ADMISSION_SWEEP_STEP: f64 = 0.005;
+/// Lower bound of the share of admitted requests, whose fills show that the origin has recovered.
+pub(super) const MIN_ORIGIN_ADMISSION_SHARE: f64 = 0.05;
+/// Retry-After of rejected requests. It is short, so that the retry can be answered in time.
+const RETRY_AFTER_US: Micros = 200_000;
 
 impl Selection<'_> {
-    /// Whether a server is available, may be sent the request, and would serve it in time.
+    /// Returns whether a server is available, the rules allow sending the request there, and the
+    /// server is expected to answer in time.
     pub(super) fn can_serve(&self, server: &ServerState) -> bool {
-        server.is_available(self.now) && self.accepts(server) && self.meets_objective(server)
+        server.is_available(self.now) && self.rules_allow(server) && self.serves_in_time(server)
     }
 
-    /// Whether the rules let a server be given the request, itself or as a fill.
-    pub(super) fn accepts(&self, server: &ServerState) -> bool {
+    /// Returns whether the rules allow a server to receive the request or its fill.
+    pub(super) fn rules_allow(&self, server: &ServerState) -> bool {
         server.lifecycle == EndpointState::Ready
-            && self.slow_start_allows(server, self.router.charge_s(self.request))
+            && self.slow_start_allows(server, self.router.slow_start_charge_s(self.request))
     }
 
-    /// Whether a cache is expected to have served the request while it is wanted; else it is full
-    /// in the sense of the design. Judged by the transfers in flight and the capacity that its
-    /// answers showed.
-    pub(super) fn meets_objective(&self, server: &ServerState) -> bool {
-        let warm = server.warm_up_fraction(self.now);
-        let capacity = self.shown_capacity(server) * warm;
+    /// Returns whether a cache is expected to answer before the request's latency objective or,
+    /// once that has passed, before its deadline. Otherwise the cache is full in the sense of the
+    /// design. The estimate uses the transfers in flight and the capacity that hits showed.
+    pub(super) fn serves_in_time(&self, server: &ServerState) -> bool {
+        let warm_share = server.warm_up_fraction(self.now);
+        let capacity = self.observed_capacity(server) * warm_share;
         let sharing = (server.in_flight.total() + 1.0) / capacity;
         let expected_us = (self.request.transfer_s * sharing.max(1.0) * 1e6) as Micros;
-        expected_us as f64 <= CACHE_MARGIN * self.request.time_left_us(self.now) as f64
+        expected_us as f64 <= MAX_CACHE_TIME_SHARE * self.request.time_left_us(self.now) as f64
     }
 
-    /// Capacity of a server in transfers, as recent hits showed it: where each took longer than its
-    /// size explains, more transfers shared the link than it carries at full rate.
-    fn shown_capacity(&self, server: &ServerState) -> f64 {
+    /// Returns the capacity of a server in transfers at full rate, as recent hits showed it. If
+    /// hits took longer than their sizes explain, more transfers shared the link than it carries at
+    /// full rate.
+    fn observed_capacity(&self, server: &ServerState) -> f64 {
         let nominal = self.router.nominal_capacity(server);
         let Some(hits) = server.hits.summary(self.now) else {
             return nominal;
         };
-        if hits.stretch >= STRETCHED {
-            return (hits.in_flight / hits.stretch).max(MIN_SHOWN_CAPACITY);
+        if hits.stretch >= OVERLOAD_STRETCH_FACTOR {
+            return (hits.in_flight / hits.stretch).max(MIN_OBSERVED_CAPACITY_TRANSFERS);
         }
         nominal.max(hits.in_flight)
     }
 
-    /// Whether a fill would not be in time on the location's link: all fills share its rate, so it
-    /// would make the others late too.
+    /// Returns whether a fill would be late on the location's link. All fills share the link's
+    /// rate, so an additional fill would make the others late too.
     pub(super) fn link_is_full(&self) -> bool {
         let in_flight = self.router.link.in_flight.total() + 1.0;
-        let sized = self.request.size_known;
-        let margin = if sized { LINK_MARGIN } else { UNSIZED_MARGIN };
-        let allowed_us = margin * self.request.time_left_us(self.now) as f64;
+        let size_known = self.request.size_known;
+        let time_share = if size_known {
+            MAX_LINK_TIME_SHARE
+        } else {
+            MAX_LINK_TIME_SHARE_UNKNOWN_SIZE
+        };
+        let allowed_us = time_share * self.request.time_left_us(self.now) as f64;
         self.link_capacity().is_some_and(|capacity| {
-            let capacity = capacity.max(MIN_LINK_CAPACITY);
+            let capacity = capacity.max(MIN_LINK_CAPACITY_TRANSFERS);
             let expected_s = self.request.transfer_s * in_flight / capacity;
             expected_s * 1e6 > allowed_us
         })
     }
 
-    /// Capacity of the location's link in transfers. If its rate is unknown, recent fills show it:
-    /// without a bound, fills that come too late are restarted and keep the link congested.
+    /// Returns the capacity of the location's link in transfers at full rate, or None if nothing
+    /// shows it. If the settings do not contain the link's rate, recent fills show the capacity
+    /// while the link is congested. Without this bound, fills that come too late would be restarted
+    /// and keep the link congested.
     fn link_capacity(&self) -> Option<f64> {
         let (settings, pace) = (&self.router.settings, &self.router.link.pace);
         let rate_kb_per_s = settings.own_zone().link_kb_per_s;
         if rate_kb_per_s > 0.0 {
-            return Some(settings.transfers(rate_kb_per_s));
+            return Some(settings.full_rate_transfers(rate_kb_per_s));
         }
         let fills = pace.summary(self.now)?;
-        let recent = self.now <= pace.last_at() + LINK_PACE_LIFETIME_US;
-        let congested = recent && fills.stretch >= STRETCHED;
+        let recent = self.now <= pace.last_at() + LINK_PACE_MAX_AGE_US;
+        let congested = recent && fills.stretch >= OVERLOAD_STRETCH_FACTOR;
         congested.then(|| fills.in_flight / fills.stretch)
     }
 }
 
 impl Router {
-    /// What a server is charged for a request, in seconds: clients may claim too small a size.
-    pub(super) fn charge_s(&self, request: &RequestState) -> f64 {
+    /// Returns the transfer time in seconds that a request takes from a server's slow-start budget.
+    /// It is at least the usual transfer time of the class, because clients may claim too small a
+    /// size.
+    pub(super) fn slow_start_charge_s(&self, request: &RequestState) -> f64 {
         let usual_s = self.latency[request.class].transfer_s();
         request.transfer_s.max(usual_s)
     }
 
-    /// Transfers that a server's link carries at full rate. If weights do not tell, it is guessed
-    /// from the location links, which carry the misses only: a cache has more than its part of one,
-    /// and a parent is built for more than one location.
+    /// Returns how many transfers a server's link carries at full rate. If the weights do not state
+    /// this, it is estimated from the links of the locations. Those carry only misses, so the link
+    /// of a cache carries more than an equal part of one, and a parent is built for more than one
+    /// location.
     pub(super) fn nominal_capacity(&self, server: &ServerState) -> f64 {
         if self.settings.weights_known {
             return server.weight;
         }
-        let link = self.settings.transfers(self.settings.mean_link_kb_per_s());
-        let servers = match server.role {
+        let link_capacity = self
+            .settings
+            .full_rate_transfers(self.settings.mean_known_link_kb_per_s());
+        let sharing_servers = match server.role {
             Role::Cache => self.servers.caches().max(1),
             Role::Parent | Role::Origin => 1,
         };
-        (link / servers as f64).max(1.0)
+        (link_capacity / sharing_servers as f64).max(1.0)
     }
 
-    /// How many attempts in flight seem to wait for fills; a stalled one is lost rather than
-    /// filled.
-    pub(super) fn count_fills(&self, now: Micros) -> usize {
-        let in_flight = self.requests.in_flight().filter(|(request, attempt)| {
+    /// Returns how many attempts in flight seem to wait for a fill. Attempts that stalled or whose
+    /// server is unavailable count as lost instead.
+    pub(super) fn count_waiting_for_fill(&self, now: Micros) -> usize {
+        let waiting = self.requests.in_flight().filter(|(request, attempt)| {
             let waited_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
-            waited_s > FILL_AFTER * request.transfer_s + OVERHEAD_S
+            waited_s > FILL_WAIT_TRANSFER_TIMES * request.transfer_s + ANSWER_OVERHEAD_S
                 && now <= attempt.stalls_at
                 && self.servers.is_available(attempt.server, now)
         });
-        in_flight.count()
+        waiting.count()
     }
 
-    /// Answers a request that no server is tried for, at once: rejected if a retry is known to be
-    /// safe.
-    pub(super) fn give_up(&mut self, id: RequestId) -> Option<Action> {
+    /// Gives the final answer to a request for which no further attempt is made. The request is
+    /// rejected if a retry is known to be safe, otherwise it fails. Returns None if there is no
+    /// such request.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.remove(id)?;
         let class = self.class(&request);
         let never_ran = request.first_run.is_none();
@@ -136,26 +167,31 @@
             Idempotency::IdempotencyKey => never_ran || class.dedup_scope == DedupScope::All,
             Idempotency::NonIdempotent => never_ran,
         };
-        // Given also where clients are not said to follow the advice: it does them no harm.
-        let longest_us = self.settings.max_retry_after_us;
-        let retry_after_us = (longest_us > 0).then_some(RETRY_AFTER_US.min(longest_us));
+        // Retry-After is also sent to clients that are not known to follow it: it does no harm.
+        let max_retry_after_us = self.settings.max_retry_after_us;
+        let retry_after_us =
+            (max_retry_after_us > 0).then_some(RETRY_AFTER_US.min(max_retry_after_us));
         let rejected = Action::reject(id, retry_after_us);
         let failed = Action::Fail { request: id };
         Some(if retry_is_safe { rejected } else { failed })
     }
 
-    /// Learns from a fill, given the wait for it over the latency objective of its class. More
-    /// fills than the origin can give in time queue up there, and it works off even those that
-    /// nobody waits for any more: all would be late, long after its trouble is over. So the later
-    /// its answers, the fewer requests may have it asked; parents give what they hold to all.
+    /// Adapts the share of requests that may cause a fill from the origin to the result of a fill.
+    /// `lateness` is the wait for the fill divided by the latency objective of the class.
+    ///
+    /// Fills beyond the origin's capacity queue up there. The origin processes even those that no
+    /// client waits for any more, so all fills would be late until long after its overload has
+    /// ended. Therefore, the later the origin answers, the fewer requests are admitted. Requests
+    /// that are not admitted still get the copies that parents hold.
     pub(super) fn learn_from_origin(&mut self, fill_result: FillResult, lateness: f64) {
         let failures = [FillResult::OriginFailed, FillResult::SourceUnreachable];
         let filled = fill_result == FillResult::FilledFromOrigin;
         if filled && lateness <= 1.0 {
-            self.origin_share.raise(IN_TIME_STEP);
+            self.origin_admission.raise(ORIGIN_ADMISSION_SUCCESS_STEP);
         } else if filled || failures.contains(&fill_result) {
-            let factors = lateness.clamp(1.0, MAX_LATE_FACTORS);
-            self.origin_share.lower(LATE_FACTOR.powf(factors));
+            let factors = lateness.clamp(1.0, MAX_ORIGIN_ADMISSION_LATE_FACTORS);
+            self.origin_admission
+                .lower(ORIGIN_ADMISSION_LATE_FACTOR.powf(factors));
         }
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! Every decision of the router, and every threshold and tuning constant.
+//! All decisions of the router, with their thresholds and tuning constants.
 //!
-//! [`Router`] dispatches events. The ordinary path of a request is in [`replication`], which
-//! follows the design that `docs/architecture.md` names; the others decide what that leaves open.
+//! [`Router`] dispatches events. [`replication`] holds the ordinary path of a request and follows
+//! the design that `docs/architecture.md` names. The other modules decide what that design leaves
+//! open.
 
 mod admission;
 mod attempt_end;
@@ -19,20 +20,32 @@
 use crate::state::{RequestState, RequestTable, ServerTable};
 use replication::Selection;
 
-const HALF_LIFE_S: f64 = 10.0; // Seconds: of request counts, from the design, and of pace.
-const COUNTED_KEYS: usize = 20_000; // Objects, and parts of objects, whose requests are counted.
-const DROPPED_COUNT: f64 = 0.25; // Counts below this go first when that table is full.
-const REMEMBERED_PURGES: usize = 40_000; // Purges that are remembered.
-const ENOUGH_TRANSFERS: f64 = 2.0; // Decayed number of transfers from which their pace is known.
-const SWEEP_INTERVAL_US: Micros = 50_000; // Microseconds between two looks at what is in flight.
-const MEAN_LOAD_S: f64 = 3.0; // Seconds of own load that are averaged to guess other routers' load.
-const POLL_AGAIN_US: Micros = 1_000_000; // Microseconds to wait after a failed poll of the list.
-const INITIAL_MISS_SHARE: f64 = 0.5; // Share of attempts that miss, before any was seen.
-const MISS_STEP: f64 = 0.01; // Weight of one attempt in that share.
-const SWEEP_TIMER: u64 = 0; // Tag of the timer of the next sweep.
-const POLL_TIMER: u64 = 1; // Tag of the timer to poll the endpoint list again.
+/// Half-life of request counts and of transfer pace. The design sets it for request counts.
+const STATISTICS_HALF_LIFE_S: f64 = 10.0;
+/// Maximum number of objects, and of parts of objects, whose requests are counted.
+const MAX_COUNTED_KEYS: usize = 20_000;
+/// Request count below which objects and parts are evicted first when their table is full.
+const FIRST_EVICTION_COUNT: f64 = 0.25;
+/// Number of remembered purges. Permanent purges are kept beyond it.
+const MAX_REMEMBERED_PURGES: usize = 40_000;
+/// Decayed number of transfers from which on their pace is known.
+const MIN_PACE_SAMPLES: f64 = 2.0;
+/// Time between two sweeps over servers and attempts in flight.
+const SWEEP_INTERVAL_US: Micros = 50_000;
+/// Time over which this router's load is averaged to estimate the load from other routers.
+const LOAD_AVERAGING_TIME_S: f64 = 3.0;
+/// Delay of the next poll of the endpoint list after a failed one.
+const POLL_RETRY_US: Micros = 1_000_000;
+/// Assumed share of attempts that miss, before any attempt has ended.
+const INITIAL_MISS_SHARE: f64 = 0.5;
+/// Weight of one attempt in the share of attempts that miss.
+const MISS_SHARE_SAMPLE_WEIGHT: f64 = 0.01;
+/// Tag of the timer for the next sweep.
+const SWEEP_TIMER_TAG: u64 = 0;
+/// Tag of the timer for the next poll of the endpoint list after a failed one.
+const POLL_TIMER_TAG: u64 = 1;
 
-/// A router: one instance decides for one proxy.
+/// Decides for one proxy where its requests go.
 pub struct Router {
     settings: Settings,
     seed: u64,
@@ -41,22 +54,27 @@
     requests: RequestTable,
     purges: PurgeTable,
     popularity: Popularity,
-    latency: Vec<LatencyEstimate>, // By index of the request class.
+    /// Indexed by request class.
+    latency: Vec<LatencyEstimate>,
+    /// The location's link, which carries all fills.
     link: LinkState,
-    origin_share: AdaptiveShare, // Of the requests that may have the origin asked.
+    /// Share of the requests that may cause a fill from the origin.
+    origin_admission: AdaptiveShare,
     started: bool,
 }
 
 impl Router {
-    /// A router for one proxy. Equal settings, seed and events give equal actions.
+    /// Creates a router for one proxy. Equal settings, seeds and events give equal actions. Returns
+    /// an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let pace = TransferPace::new(HALF_LIFE_S, ENOUGH_TRANSFERS);
-        // The others' load is guessed by the own: reported loads predicted less, as they count
-        // requests that wait for fills and are old when they are used.
-        let sample_weight = SWEEP_INTERVAL_US as f64 / 1e6 / MEAN_LOAD_S;
-        let in_flight = FleetLoad::new(settings.other_routers(), sample_weight);
-        let miss_share = MovingAverage::new(INITIAL_MISS_SHARE, MISS_STEP);
+        let pace = TransferPace::new(STATISTICS_HALF_LIFE_S, MIN_PACE_SAMPLES);
+        // The load from other routers is estimated from this router's own load. Load reports of
+        // servers are worse predictors: they include requests that wait for fills, and are out of
+        // date by the time they are used.
+        let sample_weight = SWEEP_INTERVAL_US as f64 / 1e6 / LOAD_AVERAGING_TIME_S;
+        let in_flight = FleetLoad::new(settings.other_router_count(), sample_weight);
+        let miss_share = MovingAverage::new(INITIAL_MISS_SHARE, MISS_SHARE_SAMPLE_WEIGHT);
         let classes = settings.classes.iter();
         Ok(Router {
             latency: classes.map(retry::initial_latency).collect(),
@@ -65,38 +83,49 @@
             random: RandomStream::new(seed),
             servers: ServerTable::new(pace, in_flight),
             requests: RequestTable::default(),
-            purges: PurgeTable::new(REMEMBERED_PURGES),
-            popularity: Popularity::new(HALF_LIFE_S, COUNTED_KEYS, DROPPED_COUNT),
+            purges: PurgeTable::new(MAX_REMEMBERED_PURGES),
+            popularity: Popularity::new(
+                STATISTICS_HALF_LIFE_S,
+                MAX_COUNTED_KEYS,
+                FIRST_EVICTION_COUNT,
+            ),
             link: LinkState::new(pace, in_flight, miss_share),
-            origin_share: AdaptiveShare::new(admission::MIN_ADMITTED),
+            origin_admission: AdaptiveShare::new(admission::MIN_ORIGIN_ADMISSION_SHARE),
             started: false,
         })
     }
 
-    /// Takes an event in and appends what is to be done, in order.
+    /// Handles an event and appends the resulting actions to `actions`, in the order in which they
+    /// must be carried out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let timer = |after_us: Micros, tag: u64| Action::set_timer(now + after_us, tag);
+        let timer = |delay_us: Micros, tag: u64| Action::set_timer(now + delay_us, tag);
         if !self.started {
             self.started = true;
-            actions.push(timer(SWEEP_INTERVAL_US, SWEEP_TIMER));
+            actions.push(timer(SWEEP_INTERVAL_US, SWEEP_TIMER_TAG));
             let poll = self.settings.poll_endpoint_list;
             actions.extend(poll.then_some(Action::WatchEndpoints));
         }
         match event {
             Event::EndpointList { mode, endpoints } => match mode {
-                EndpointListMode::Failed => actions.push(timer(POLL_AGAIN_US, POLL_TIMER)),
+                EndpointListMode::Failed => actions.push(timer(POLL_RETRY_US, POLL_TIMER_TAG)),
                 _ => self.servers.update(mode, endpoints, &self.settings),
             },
-            Event::Request(request) => actions.extend(self.request_arrived(now, request)),
+            Event::Request(request) => actions.extend(self.handle_request(now, request)),
             Event::StreamStarted { request, attempt } => {
                 self.requests.stream_started(request, attempt);
             }
-            Event::AttemptEnded(report) => actions.extend(self.attempt_ended(now, report)),
-            Event::ClientDisconnected { request } => actions.extend(self.disconnected(request)),
-            Event::Timer { tag: SWEEP_TIMER } => self.sweep(now, actions),
-            Event::Timer { tag: POLL_TIMER } => actions.push(Action::WatchEndpoints),
+            Event::AttemptEnded(report) => actions.extend(self.handle_attempt_end(now, report)),
+            Event::ClientDisconnected { request } => {
+                actions.extend(self.handle_disconnect(request))
+            }
+            Event::Timer {
+                tag: SWEEP_TIMER_TAG,
+            } => self.sweep(now, actions),
+            Event::Timer {
+                tag: POLL_TIMER_TAG,
+            } => actions.push(Action::WatchEndpoints),
             Event::Timer { .. } | Event::ProbeEnded { .. } => {}
-            Event::TimesMovedBack { by_us } => {
+            Event::TimestampsMovedEarlier { by_us } => {
                 self.servers.move_starts_back(by_us);
                 self.purges.move_back(by_us);
             }
@@ -106,27 +135,31 @@
                 age_us,
                 permanent,
             } => {
-                let at = now.saturating_sub(age_us);
+                let purged_at = now.saturating_sub(age_us);
                 self.purges
-                    .record(now, object.as_deref(), group, at, permanent);
+                    .record(now, object.as_deref(), group, purged_at, permanent);
             }
         }
     }
 
-    fn request_arrived(&mut self, now: Micros, request: Request) -> Option<Action> {
+    /// Starts the first attempt of a request or gives its final answer. Returns None if a request
+    /// with the same id is in progress.
+    fn handle_request(&mut self, now: Micros, request: Request) -> Option<Action> {
         let Some(index) = self.settings.class_index(&request.class) else {
-            // Nothing is known of what it may do, but it was not tried, so a retry is harmless.
+            // An unknown class has unknown idempotency, but the request was never sent, so a retry
+            // is safe.
             return Some(Action::reject(request.id, None));
         };
         let (class, latency) = (&self.settings.classes[index], &mut self.latency[index]);
-        let own_s = self.settings.transfer_s(request.size_kb);
-        let transfer_s = own_s.unwrap_or(latency.transfer_s());
-        // A client may claim any size: one that could never be sent in time is not learned from.
-        if own_s.is_some_and(|own_s| own_s * 1e6 <= class.deadline_us as f64) {
+        let size_based_s = self.settings.transfer_s(request.size_kb);
+        let transfer_s = size_based_s.unwrap_or(latency.transfer_s());
+        // Clients may claim any size. The estimate ignores sizes that cannot be transferred within
+        // the deadline of the class.
+        if size_based_s.is_some_and(|size_based_s| size_based_s * 1e6 <= class.deadline_us as f64) {
             latency.learn_transfer(transfer_s);
         }
         let mut state = RequestState::new(now, &request, index, class, transfer_s);
-        state.size_known = own_s.is_some();
+        state.size_known = size_based_s.is_some();
         if !class.is_write {
             self.popularity.count(now, &mut state);
         }
@@ -134,7 +167,7 @@
         is_new.then(|| self.route(now, request.id)).flatten()
     }
 
-    /// Sends a request to a server, or answers it when there is none that it may be sent to.
+    /// Sends a request to a server, or gives its final answer if no server may receive it.
     fn route(&mut self, now: Micros, id: RequestId) -> Option<Action> {
         self.random.advance();
         let request = self.requests.get(id)?;
@@ -142,22 +175,24 @@
         let pick = || Selection::new(self, now, request).pick_target();
         match allowed.then(pick).flatten() {
             Some(target) => self.send(now, id, target),
-            None => self.give_up(id),
+            None => self.reject_or_fail(id),
         }
     }
 
-    /// Looks over servers and attempts in flight: what hangs shows only in what does not come back.
+    /// Checks servers and attempts in flight. A server that hangs causes no event, so it is
+    /// detected by the answers that are missing.
     fn sweep(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        actions.push(Action::set_timer(now + SWEEP_INTERVAL_US, SWEEP_TIMER));
-        self.origin_share.raise(admission::SWEEP_STEP);
+        actions.push(Action::set_timer(now + SWEEP_INTERVAL_US, SWEEP_TIMER_TAG));
+        self.origin_admission
+            .raise(admission::ORIGIN_ADMISSION_SWEEP_STEP);
         let window_us = self.settings.rules.overload_window_us;
         self.servers.sweep(now.saturating_sub(window_us));
-        self.link.sweep(self.count_fills(now));
+        self.link.sweep(self.count_waiting_for_fill(now));
         self.eject_unresponsive(now);
-        self.cancel_hopeless(now, actions);
+        self.cancel_stuck_attempts(now, actions);
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     fn class(&self, request: &RequestState) -> &Class {
         &self.settings.classes[request.class]
     }
--- a/crates/routing/src/policy/outlier.rs
+++ b/crates/routing/src/policy/outlier.rs
@@ -1,76 +1,88 @@
-//! Outlier detection: servers that fail or do not answer are ejected, longer each time, and come
-//! back by way of a single request, the half-open probe.
+//! Outlier detection: servers that fail or do not answer are ejected. Each further ejection lasts
+//! longer, and a server returns by way of a single request, the half-open probe.
 
 use super::Router;
 use crate::event::ServerId;
 use crate::settings::Micros;
 use crate::state::{InFlightAttempt, ServerState};
 
-const EJECTION_US: Micros = 1_500_000; // Microseconds; doubled with each failed half-open probe.
-const MAX_EJECTION_US: Micros = 4_000_000; // Microseconds: no recovered server is missed longer.
-const MAX_EJECTION_DOUBLINGS: u32 = 4; // How often the first ejection is doubled at most.
-pub(super) const FAILURE_STEP: f64 = 0.3; // Weight of one attempt in a server's failure rate.
-const MAX_FAILURE_RATE: f64 = 0.45; // Exceeded by two failures in a row, or a lasting third.
-/// A server is unresponsive if its late attempts all wait for fills with this chance at most; the
-/// second figure is slack for rounding.
-const UNRESPONSIVE_CHANCE: f64 = 0.16 + 1e-9;
-const MIN_FILL_CHANCE: f64 = 0.4; // That an attempt waits for a fill: a single late one won't do.
+/// Duration of the first ejection. Each failed half-open probe doubles it.
+const FIRST_EJECTION_US: Micros = 1_500_000;
+/// Upper bound of an ejection, so that a recovered server is not left unused for longer.
+const MAX_EJECTION_US: Micros = 4_000_000;
+/// How often the duration of the first ejection is doubled at most.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// Weight of one attempt in the failure rate of a server.
+pub(super) const FAILURE_RATE_SAMPLE_WEIGHT: f64 = 0.3;
+/// Failure rate above which a server is ejected. Two failures in a row exceed it, and so does a
+/// lasting failure share of one third.
+const EJECTION_FAILURE_RATE: f64 = 0.45;
+/// A server is unresponsive if the chance that all its late attempts wait for fills is at most
+/// this. The second term allows for rounding.
+const UNRESPONSIVE_FILL_CHANCE: f64 = 0.16 + 1e-9;
+/// Lower bound of the chance that a late attempt waits for a fill. It is above
+/// [`UNRESPONSIVE_FILL_CHANCE`], so that a single late attempt does not eject a server.
+const MIN_FILL_CHANCE: f64 = 0.4;
 
 impl ServerState {
-    /// Whether it is not ejected. After an ejection it is available for one request at a time.
+    /// Returns whether the server may receive requests. A server that is not ejected is available;
+    /// after an ejection it is available for one request at a time.
     pub(crate) fn is_available(&self, now: Micros) -> bool {
         let half_open = now >= self.ejected_until && !self.half_open_probe_in_flight;
         self.consecutive_ejections == 0 || half_open
     }
 }
 
-/// Ejects a server, if it is not ejected already.
+/// Ejects a server unless it is ejected already.
 fn eject(now: Micros, server: &mut ServerState) {
     if now >= server.ejected_until {
         let doublings = server.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
-        server.ejected_until = now + (EJECTION_US << doublings).min(MAX_EJECTION_US);
+        server.ejected_until = now + (FIRST_EJECTION_US << doublings).min(MAX_EJECTION_US);
         server.consecutive_ejections += 1;
         server.half_open_probe_in_flight = false;
     }
 }
 
 impl Router {
-    /// A server served a request or filled a copy.
-    pub(super) fn server_succeeded(&mut self, now: Micros, id: ServerId) {
+    /// Records that a server served a request or filled a copy.
+    pub(super) fn record_server_success(&mut self, now: Micros, id: ServerId) {
         self.servers.change(id, |server| {
             server.half_open_probe_in_flight = false;
             server.last_success_at = now;
-            // Its process is taken to have just started, whatever the endpoint list says.
+            // The process of a server that was unreachable counts as just started, whatever start
+            // time the endpoint list contains.
             if std::mem::take(&mut server.unreachable) {
                 server.recovered_at = Some(now);
             }
-            server.failure_rate -= FAILURE_STEP * server.failure_rate;
+            server.failure_rate -= FAILURE_RATE_SAMPLE_WEIGHT * server.failure_rate;
             if now >= server.ejected_until {
                 server.consecutive_ejections = 0;
             }
         });
     }
 
-    /// A server failed a request or a fill; a weight below 1: perhaps not by its fault.
-    pub(super) fn server_failed(&mut self, now: Micros, id: ServerId, weight: f64) {
+    /// Records that a server failed a request or a fill. A `weight` below 1 means that something
+    /// else may have caused the failure.
+    pub(super) fn record_server_failure(&mut self, now: Micros, id: ServerId, weight: f64) {
         self.servers.change(id, |server| {
             server.half_open_probe_in_flight = false;
-            let change = FAILURE_STEP * weight * (1.0 - server.failure_rate);
-            server.failure_rate += change.min(1.0);
-            if server.failure_rate > MAX_FAILURE_RATE || server.consecutive_ejections > 0 {
+            let increase = FAILURE_RATE_SAMPLE_WEIGHT * weight * (1.0 - server.failure_rate);
+            server.failure_rate += increase.min(1.0);
+            if server.failure_rate > EJECTION_FAILURE_RATE || server.consecutive_ejections > 0 {
                 eject(now, server);
             }
         });
     }
 
-    /// Ejects servers that are unresponsive: nothing has succeeded there since the first of its
-    /// late attempts was sent, and fills hardly explain all of these.
+    /// Ejects unresponsive servers. A server is unresponsive if nothing has succeeded there since
+    /// the first of its late attempts was sent, and waiting for fills is an unlikely explanation
+    /// for all of them.
     pub(super) fn eject_unresponsive(&mut self, now: Micros) {
         let fill_chance = |attempt: &InFlightAttempt| self.fill_chance(now, attempt);
         for (id, late) in self.requests.late_by_server(now, fill_chance) {
             self.servers.change(id, |server| {
-                let explained = late.chance > UNRESPONSIVE_CHANCE;
-                let failed = !explained || server.half_open_probe_in_flight;
+                let explained_by_fills = late.chance > UNRESPONSIVE_FILL_CHANCE;
+                let failed = !explained_by_fills || server.half_open_probe_in_flight;
                 if failed && server.last_success_at < late.first_sent_at {
                     eject(now, server);
                 }
@@ -78,9 +90,9 @@
         }
     }
 
-    /// The chance that a late attempt waits for a fill. Purged groups and caches that started empty
-    /// are sure to: a slow fill is due to the origin or the link, and a retry would only be one
-    /// more fill.
+    /// Returns the chance that a late attempt waits for a fill. It is 1 if the object's group was
+    /// purged or the cache is warming up after it started empty: a slow fill is then due to the
+    /// origin or the link, and a retry would only add another fill.
     fn fill_chance(&self, now: Micros, attempt: &InFlightAttempt) -> f64 {
         let server = self.servers.get(attempt.server);
         if attempt.group_purged || server.is_some_and(|server| server.is_warming_up(now)) {
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -1,23 +1,30 @@
-//! The design: copies of an object, the cache that takes a request, and the source of its fill.
+//! Replication: how many caches hold copies of an object, which cache receives a request, and which
+//! source fills a miss.
 
 use super::Router;
 use crate::settings::{DedupScope, Micros, PeerFill};
 use crate::state::{RankedServers, RequestState, ServerState, Target};
 
-const PRIOR_REQUESTS: f64 = 50.0; // Taken as counted, so that first objects do not pass for hot.
-const MAX_FAILED_FILLS: u32 = 2; // Failed fills of a request until it only looks into the caches.
-/// The second parent fills while fills from the first take this many times as long for their size.
-const CLEARLY_SLOWER: f64 = 2.0;
+/// Lower bound of the total request count that an object's popularity is relative to. Without it,
+/// the first objects that are requested would count as hot.
+const MIN_TOTAL_REQUEST_COUNT: f64 = 50.0;
+/// Number of failed fills after which a request is served from cached copies only.
+const MAX_FAILED_FILLS: u32 = 2;
+/// The second parent is used while fills from the first take this many times as long for their size
+/// as fills from the second.
+const SLOWER_PARENT_FACTOR: f64 = 2.0;
 
-/// The choice of a server for a request.
+/// Selects a server and a fill source for a request.
 pub(super) struct Selection<'a> {
     pub(super) router: &'a Router,
     pub(super) now: Micros,
     pub(super) request: &'a RequestState,
+    /// The ready servers in rendezvous order for the requested part.
     ranked: RankedServers<'a>,
 }
 
 impl<'a> Selection<'a> {
+    /// Ranks the servers for the requested part.
     pub(super) fn new(router: &'a Router, now: Micros, request: &'a RequestState) -> Self {
         let weighted = router.settings.weights_known;
         Selection {
@@ -28,7 +35,7 @@
         }
     }
 
-    /// Where the request goes next; none: nowhere.
+    /// Returns where to send the request next, or None if no server may receive it.
     pub(super) fn pick_target(&self) -> Option<Target> {
         if self.router.class(self.request).is_write {
             return self.pick_for_write();
@@ -36,38 +43,42 @@
         self.pick_cache().or_else(|| self.pick_last_resort())
     }
 
-    /// Copies of the object: its share of the requests is its share of the caches, one at least.
-    fn copies(&self) -> usize {
-        let requests = self.router.popularity.total(self.now);
-        let share = self.request.object_count / requests.max(PRIOR_REQUESTS);
-        let copies = share * self.ranked.caches.len() as f64;
-        copies.ceil().max(1.0) as usize
+    /// Returns how many caches should hold a copy of the object. The object's share of the caches
+    /// is its share of all requests, rounded up to at least one cache.
+    fn copy_count(&self) -> usize {
+        let total_requests = self.router.popularity.total(self.now);
+        let share = self.request.object_count / total_requests.max(MIN_TOTAL_REQUEST_COUNT);
+        let copy_count = share * self.ranked.caches.len() as f64;
+        copy_count.ceil().max(1.0) as usize
     }
 
-    /// A uniform pick among the caches that hold copies and are not full, else the next in the
-    /// order.
+    /// Picks a cache at random among those that should hold a copy and are not full. If there is
+    /// none, picks the next cache in the rendezvous order that is not full. Returns None if all
+    /// caches are full.
     fn pick_cache(&self) -> Option<Target> {
         let tried = &self.request.tried;
         let usable = |cache: &&ServerState| !tried.contains(&cache.id) && self.can_serve(cache);
-        let (caches, copies) = (self.ranked.caches.iter().copied(), self.copies());
-        let holders: Vec<_> = caches.clone().take(copies).filter(usable).collect();
+        let (caches, copy_count) = (self.ranked.caches.iter().copied(), self.copy_count());
+        let holders: Vec<_> = caches.clone().take(copy_count).filter(usable).collect();
         let cache = if holders.is_empty() {
-            caches.skip(copies).find(usable)?
+            caches.skip(copy_count).find(usable)?
         } else {
             holders[self.router.random.index(holders.len())]
         };
         let peer = self.pick_peer(cache);
-        self.read_from(cache, peer.or_else(|| self.pick_source()))
+        self.read_target(cache, peer.or_else(|| self.pick_source()))
     }
 
-    /// A cache that was found to have no copy is of no use without a source.
-    fn read_from(&self, cache: &ServerState, source: Option<&ServerState>) -> Option<Target> {
-        let useful = source.is_some() || !self.request.needs_fill;
-        useful.then(|| Target::new(cache, source))
+    /// Returns the target for a read, or None if the read has missed before and there is no source
+    /// to fill it from.
+    fn read_target(&self, cache: &ServerState, source: Option<&ServerState>) -> Option<Target> {
+        let is_useful = source.is_some() || !self.request.needs_fill;
+        is_useful.then(|| Target::new(cache, source))
     }
 
-    /// Peer fill spares the location's link: a cache that is not the first in the order, or that
-    /// warms up, is filled from the cache that most likely holds a copy.
+    /// Picks another cache as the fill source, which saves transfers on the location's link. A
+    /// cache that is not the first in the rendezvous order, or that is warming up, is filled from
+    /// the cache that most likely holds a copy. Returns None if no peer fill is possible or useful.
     fn pick_peer(&self, cache: &ServerState) -> Option<&'a ServerState> {
         let mut caches = self.ranked.caches.iter().copied();
         let first = self.ranked.caches.first()?;
@@ -79,8 +90,10 @@
         usable.then_some(peer)
     }
 
-    /// Fills come from the first parent in the order that is available, from the second while the
-    /// first is clearly slower, and from the origin only while no parent can be reached: when the
+    /// Picks a parent or the origin as the fill source, or returns None if there is no usable one.
+    ///
+    /// The source is the first available parent in the rendezvous order, or the second while the
+    /// first is clearly slower. The origin is used only while no parent can be reached: when the
     /// origin is slow or down, the fills of all parents fail, and trying one source after another
     /// would keep it down.
     fn pick_source(&self) -> Option<&'a ServerState> {
@@ -92,18 +105,20 @@
         if sources.is_empty() {
             sources.extend(self.ranked.origin);
         }
-        sources.retain(|source| !self.request.source_failed(source.id) && self.accepts(source));
+        sources.retain(|source| !self.request.source_failed(source.id) && self.rules_allow(source));
         let is_available = |source: &&ServerState| source.is_available(self.now);
         let mut available = sources.iter().copied().filter(is_available);
         let (first, second) = (available.next(), available.next());
         let stretch = |source: &ServerState| Some(source.fills.summary(self.now)?.stretch);
         let stretches = first.and_then(stretch).zip(second.and_then(stretch));
-        let slower = stretches.is_some_and(|(first, second)| first > CLEARLY_SLOWER * second);
+        let slower = stretches.is_some_and(|(first, second)| first > SLOWER_PARENT_FACTOR * second);
         let preferred = first.filter(|_| !slower).or(second);
         preferred.or(sources.first().copied())
     }
 
-    /// A write runs at the origin: sent there where that is allowed, else by way of a cache.
+    /// Picks the target of a write, which runs at the origin. The write is sent to the origin
+    /// directly where that is allowed, otherwise through a cache. Returns None if no server may
+    /// receive it.
     fn pick_for_write(&self) -> Option<Target> {
         let scope = self.router.class(self.request).dedup_scope;
         let drops_repeats = |server: &ServerState| {
@@ -113,24 +128,29 @@
                 DedupScope::Cell => server.cell == run.cell,
             })
         };
-        // There is no way around an ejected origin, so it is asked all the same.
+        // A write can run only at the origin, so it is sent there even while the origin is ejected.
         let origin = self.ranked.origin?;
         if self.router.settings.direct_requests && drops_repeats(origin) {
             return Some(Target::new(origin, None));
         }
         let mut caches = self.ranked.caches.iter().copied();
-        let usable = |cache: &ServerState| cache.is_available(self.now) && self.accepts(cache);
+        let usable = |cache: &ServerState| cache.is_available(self.now) && self.rules_allow(cache);
         let cache = caches.find(|cache| drops_repeats(cache) && usable(cache))?;
         Some(Target::new(cache, Some(origin)))
     }
 
-    /// For when no available cache meets the objective. With none available, the first parent where
-    /// that is allowed; else the first cache that meets the objective, ejected or not: when
-    /// ejections leave none, they are a sign of overload rather than of single servers at fault.
+    /// Picks a target for a read when no available cache would serve it in time. Returns None if
+    /// there is no target.
+    ///
+    /// If no cache is available at all, the target is the first available parent where direct
+    /// requests are allowed. Otherwise it is the first reachable cache that would serve the request
+    /// in time, ejected or not: when ejections leave no cache available, they indicate overload
+    /// rather than faults of single servers.
     fn pick_last_resort(&self) -> Option<Target> {
         let (caches, origin) = (&self.ranked.caches, self.ranked.origin);
         let tried = &self.request.tried;
-        let untried = |server: &&&ServerState| !tried.contains(&server.id) && self.accepts(server);
+        let untried =
+            |server: &&&ServerState| !tried.contains(&server.id) && self.rules_allow(server);
         let origin_failed = origin.is_some_and(|origin| self.request.source_failed(origin.id));
         let cache_available = caches.iter().any(|cache| cache.is_available(self.now));
         let direct = self.router.settings.direct_requests && !cache_available && !origin_failed;
@@ -142,7 +162,7 @@
         }
         let untried = caches.iter().filter(untried);
         let mut reachable = untried.filter(|cache| !cache.unreachable);
-        let cache = reachable.find(|cache| self.meets_objective(cache))?;
-        self.read_from(cache, self.pick_source())
+        let cache = reachable.find(|cache| self.serves_in_time(cache))?;
+        self.read_target(cache, self.pick_source())
     }
 }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -1,4 +1,5 @@
-//! Attempts: whether one more is allowed, how it is sent, and when it is cancelled.
+//! Attempts of a request: whether a further one is allowed, how it is sent, and when it is
+//! cancelled.
 
 use super::Router;
 use crate::action::{Action, Fill};
@@ -7,45 +8,65 @@
 use crate::settings::{Class, Idempotency, Micros};
 use crate::state::{InFlightAttempt, RequestState, Role, Target};
 
-const MIN_ATTEMPT_US: Micros = 5_000; // Least microseconds in which an attempt can be answered.
-const MAX_SERVER_ERRORS: u32 = 2; // Servers that fail a request before it counts as at fault.
-/// Decayed request count from which a part is requested repeatedly. It is kept at the higher rank,
-/// so that a scan of objects that are requested once does not evict it.
-const REPEATED_COUNT: f64 = 1.3;
-pub(super) const OVERHEAD_S: f64 = 0.02; // Seconds that an answer takes besides its transfer.
-const INITIAL_TRANSFER_PART: f64 = 0.5; // Usual transfer time over the objective, to begin with.
-const TRANSFER_STEP: f64 = 0.01; // Least weight of one request in its class's usual transfer time.
-const MIN_TRANSFER_S: f64 = 0.001; // Least seconds that a transfer of unknown size is taken for.
-const SLOW_SHARE: f64 = 0.02; // Share of a class's answers that are slow.
-const SLOW_STEP: f64 = 0.2; // Weight of one answer in the estimate of what is slow.
-const INITIAL_SLOW_RATIO: f64 = 4.0; // What is slow over the baseline, before any answer was seen.
-/// An attempt stalls after this many times what is slow; each stall of its request doubles it.
-const STALL_MULTIPLE: f64 = 2.2;
-const MAX_STALL_DOUBLINGS: u32 = 4; // How often that is doubled at most.
-const EXPECTED_S: f64 = 0.25; // Seconds that an attempt may be expected to take besides transfers.
-const EXPECTED_TRANSFERS: f64 = 2.0; // Transfer times that it may be expected to take.
-/// How long after the purge of a group all requests may wait for fills, in microseconds: the parts
-/// of the group are filled again one by one, as they are requested.
-const REFILL_US: Micros = 20_000_000;
+/// Shortest time in which an attempt can be answered.
+const MIN_ATTEMPT_US: Micros = 5_000;
+/// Number of servers that fail a request without a reason before the request counts as being at
+/// fault.
+const MAX_SERVER_ERRORS: u32 = 2;
+/// Decayed request count from which on a part counts as requested repeatedly. Its copies get a
+/// higher retention rank, so that a scan of objects that are requested once does not evict them.
+const REPEATED_REQUEST_COUNT: f64 = 1.3;
+/// Time that an answer takes besides its transfer.
+pub(super) const ANSWER_OVERHEAD_S: f64 = 0.02;
+/// Initial estimate of the usual transfer time of a class, as a share of its latency objective.
+const INITIAL_TRANSFER_TIME_SHARE: f64 = 0.5;
+/// Lower bound of the weight of one request in the usual transfer time of its class.
+const MIN_TRANSFER_TIME_SAMPLE_WEIGHT: f64 = 0.01;
+/// Lower bound of the measured transfer time of an answer of unknown size.
+const MIN_MEASURED_TRANSFER_S: f64 = 0.001;
+/// Share of the answers of a class that count as slow.
+const SLOW_ANSWER_SHARE: f64 = 0.02;
+/// Largest relative change of the slow ratio by one answer. The slow ratio is the time from which
+/// on an answer counts as slow, divided by a baseline of its class.
+const SLOW_RATIO_STEP: f64 = 0.2;
+/// Slow ratio before any answer was received.
+const INITIAL_SLOW_RATIO: f64 = 4.0;
+/// An attempt counts as stalled after this many times the duration of a slow answer. Each earlier
+/// stall of the request doubles the time.
+const STALL_SLOW_FACTOR: f64 = 2.2;
+/// How often the time until an attempt counts as stalled is doubled at most.
+const MAX_STALL_DOUBLINGS: u32 = 4;
+/// Longest time that an attempt is expected to take besides transfers.
+const MAX_EXPECTED_OVERHEAD_S: f64 = 0.25;
+/// Largest number of its own transfer times that an attempt is expected to take.
+const MAX_EXPECTED_TRANSFER_TIMES: f64 = 2.0;
+/// Time after the purge of a group during which all requests may wait for fills. The parts of the
+/// group are filled again one by one, as they are requested.
+const GROUP_REFILL_US: Micros = 20_000_000;
 
-/// How long answers of a class take, before any was seen.
+/// Returns the latency estimate of a class before any answer was received.
 pub(super) fn initial_latency(class: &Class) -> LatencyEstimate {
-    let initial_s = class.latency_objective_us as f64 / 1e6 * INITIAL_TRANSFER_PART;
-    let transfer_s = LearnedMean::new(initial_s, TRANSFER_STEP);
-    let slow_ratio = QuantileEstimate::new(INITIAL_SLOW_RATIO, SLOW_STEP, SLOW_SHARE);
-    LatencyEstimate::new(transfer_s, slow_ratio, OVERHEAD_S, MIN_TRANSFER_S)
+    let initial_s = class.latency_objective_us as f64 / 1e6 * INITIAL_TRANSFER_TIME_SHARE;
+    let transfer_s = LearnedMean::new(initial_s, MIN_TRANSFER_TIME_SAMPLE_WEIGHT);
+    let slow_ratio = QuantileEstimate::new(INITIAL_SLOW_RATIO, SLOW_RATIO_STEP, SLOW_ANSWER_SHARE);
+    LatencyEstimate::new(
+        transfer_s,
+        slow_ratio,
+        ANSWER_OVERHEAD_S,
+        MIN_MEASURED_TRANSFER_S,
+    )
 }
 
 impl Router {
-    /// Whether a request may be sent once more: there is time and an attempt left, and an attempt
-    /// that may have taken effect is no obstacle.
+    /// Returns whether a further attempt of a request is allowed. Time and attempts must be left,
+    /// and if an earlier attempt may have taken effect, the request must be safe to repeat.
     pub(super) fn may_attempt(&self, now: Micros, request: &RequestState) -> bool {
         let class = self.class(request);
         let repeatable = request.first_run.is_none_or(|run| {
-            let answered_after_us = now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US;
+            let elapsed_at_answer_us = now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US;
             match class.idempotency {
                 Idempotency::Idempotent => true,
-                Idempotency::IdempotencyKey => answered_after_us < class.dedup_window_us,
+                Idempotency::IdempotencyKey => elapsed_at_answer_us < class.dedup_window_us,
                 Idempotency::NonIdempotent => false,
             }
         });
@@ -55,10 +76,11 @@
             && request.server_errors < MAX_SERVER_ERRORS
     }
 
-    /// Sends a request to a server.
+    /// Sends a request to a server and returns the action for it, or None if there is no such
+    /// request.
     pub(super) fn send(&mut self, now: Micros, id: RequestId, target: Target) -> Option<Action> {
         let request = self.requests.get(id)?;
-        let (class, transfer_s) = (self.class(request), self.charge_s(request));
+        let (class, charge_s) = (self.class(request), self.slow_start_charge_s(request));
         let attempt = self.new_attempt(now, request, target);
         let keyed = class.idempotency == Idempotency::IdempotencyKey;
         let first_run = request.first_run.filter(|_| keyed);
@@ -66,10 +88,10 @@
             request: id,
             server: target.server,
             timeout_us: None,
-            fill: Some(self.fill(now, id, request, target)),
+            fill: Some(self.new_fill(now, id, request, target)),
             send_by: first_run.map(|run| run.sent_at + class.dedup_window_us),
         };
-        self.servers.attempt_sent(id, &attempt, transfer_s);
+        self.servers.attempt_sent(id, &attempt, charge_s);
         self.link.attempt_sent();
         self.requests.attempt_sent(id, attempt);
         Some(action)
@@ -90,44 +112,45 @@
         }
     }
 
-    /// When an attempt that is sent now is past its expected latency. After the purge of a group
-    /// all wait for the origin: then only what is slow is past it.
+    /// Returns when an attempt that is sent now exceeds its expected latency. After the purge of a
+    /// group all attempts may wait for the origin, so only slow attempts exceed it then.
     fn expected_by(&self, now: Micros, request: &RequestState, slow_s: f64) -> Micros {
-        let mut expected_s = EXPECTED_S + EXPECTED_TRANSFERS * request.transfer_s;
-        if self.purges.any_group_purged(now, REFILL_US) {
+        let mut expected_s =
+            MAX_EXPECTED_OVERHEAD_S + MAX_EXPECTED_TRANSFER_TIMES * request.transfer_s;
+        if self.purges.any_group_purged(now, GROUP_REFILL_US) {
             expected_s = expected_s.max(slow_s);
         }
         now + (expected_s * 1e6) as Micros
     }
 
-    /// How a miss is filled, and what is kept.
-    fn fill(&self, now: Micros, id: RequestId, request: &RequestState, target: Target) -> Fill {
+    /// Returns how the server fills a miss and which copy it keeps.
+    fn new_fill(&self, now: Micros, id: RequestId, request: &RequestState, target: Target) -> Fill {
         let class = self.class(request);
         let server = self.servers.get(target.server);
         let cached = !class.is_write && server.is_none_or(|server| server.role == Role::Cache);
-        let repeated = request.part_count >= REPEATED_COUNT;
-        // However long ago the purge: a fill that was in flight may have brought an older copy
-        // after the servers had dropped theirs.
+        let repeated = request.part_count >= REPEATED_REQUEST_COUNT;
+        // A purge limits the age of copies however long ago it was: a fill in flight at that time
+        // may have stored an older copy after the servers had dropped theirs.
         let since_purge_us = self
             .purges
             .since_purge_us(now, request.object, request.group);
         let lifetime_us = class.lifetime_us();
-        // Drawn once for a request, so that retries are no further chances.
-        let admitted = self.origin_share.admits(hash::fraction(self.seed, id));
+        // The draw is the same for all attempts of a request, so retries get no additional chance.
+        let admitted = self.origin_admission.admits(hash::fraction(self.seed, id));
         Fill {
             source: target.source.unwrap_or(target.server),
             retention_rank: u8::from(cached) + u8::from(cached && repeated),
             max_age_us: since_purge_us.map(|age_us| age_us.min(lifetime_us.unwrap_or(age_us))),
             coalesce: self.settings.coalescing && cached,
             only_if_cached: !class.is_write && target.source.is_some() && !admitted,
-            bypass_parent: false,
+            parent_no_store: false,
             background_refresh: lifetime_us.is_some() && repeated && cached,
         }
     }
 
     /// Cancels attempts that stalled or whose server or source is ejected as unresponsive, so that
-    /// they can be sent elsewhere.
-    pub(super) fn cancel_hopeless(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// their requests can be sent elsewhere.
+    pub(super) fn cancel_stuck_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let classes = &self.settings.classes;
         for (id, request) in self.requests.iter_mut() {
             let idempotent = classes[request.class].idempotency == Idempotency::Idempotent;
@@ -137,19 +160,21 @@
             };
             let late = attempt.expected_by < now;
             let mut servers = attempt.servers().filter_map(|id| self.servers.get(id));
-            let hangs = late
+            let server_unresponsive = late
                 && servers.any(|server| {
                     now < server.ejected_until && server.last_success_at < attempt.sent_at
                 });
-            if hangs || now > attempt.stalls_at {
-                attempt.stalled = !hangs;
+            if server_unresponsive || now > attempt.stalls_at {
+                attempt.stalled = !server_unresponsive;
                 actions.push(attempt.cancel(id));
             }
         }
     }
 
-    /// The client disconnected: its attempt is cancelled, so that no link carries it in vain.
-    pub(super) fn disconnected(&mut self, id: RequestId) -> Option<Action> {
+    /// Handles the disconnect of a client. Its attempt is cancelled, so that no link carries an
+    /// answer that nobody receives. Returns None if there is nothing to cancel or cancellation is
+    /// not allowed.
+    pub(super) fn handle_disconnect(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.get_mut(id)?;
         request.client_disconnected = true;
         let attempt = request.cancellable()?;
@@ -157,9 +182,10 @@
     }
 }
 
-/// When an attempt that is sent now stalls: sharing does not explain that it takes longer.
+/// Returns when an attempt that is sent now counts as stalled. Sharing of links does not explain a
+/// longer duration.
 fn stalls_at(now: Micros, request: &RequestState, slow_s: f64) -> Micros {
     let doublings = request.stalls.min(MAX_STALL_DOUBLINGS);
-    let stalled_s = STALL_MULTIPLE * slow_s * f64::from(1 << doublings);
-    now + (stalled_s * 1e6) as Micros
+    let stall_time_s = STALL_SLOW_FACTOR * slow_s * f64::from(1 << doublings);
+    now + (stall_time_s * 1e6) as Micros
 }
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -1,111 +1,114 @@
 //! The settings that a router starts with: classes, tenants, zones and the limits of the
 //! deployment.
 //!
-//! Plain data. [`Settings::validate`] tells whether a router can work with it.
+//! The settings are plain data, which [`Settings::validate`] checks.
 
 mod validation;
 
 pub use validation::SettingsError;
 
-/// A time or a duration in microseconds, on the clock of the router's caller.
+/// A duration in microseconds, or a time in microseconds on the clock of the router's caller.
+/// Durations have names that end in `_us`.
 pub type Micros = u64;
 
-/// How often a request may take effect.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated at will.
+    /// The request may be repeated any number of times.
     Idempotent,
-    /// It carries an idempotency key: a group of servers drops repeats for a while.
+    /// The request carries an idempotency key, by which a group of servers drops repeats for a
+    /// limited time.
     IdempotencyKey,
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
-/// Which servers drop the repeats of a request that carries an idempotency key.
+/// Which servers drop repeats of a request that carries an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those in the zone of the server that was tried first.
+    /// The servers in the zone of the server that the first attempt was sent to.
     Zone,
-    /// Those in the cell of the server that was tried first.
+    /// The servers in the cell of the server that the first attempt was sent to.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, as requests carry it.
+    /// The class's name, as in requests.
     pub name: String,
-    /// An answer within this time earns the full weight.
+    /// An answer within this time counts with the full priority weight.
     pub latency_objective_us: Micros,
-    /// The latency objective grows by this many times the request's own transfer time.
+    /// The latency objective is extended by this multiple of the request's own transfer time.
     pub objective_per_transfer_time: f64,
-    /// When clients give up at the latest.
+    /// Longest time until clients give up.
     pub deadline_us: Micros,
-    /// Weight of one request against those of other classes.
+    /// Weight of one request relative to requests of other classes.
     pub priority_weight: f64,
-    /// Share of the weight that a late answer earns.
+    /// Share of the priority weight with which a late answer counts.
     pub late_weight: f64,
-    /// How often it may take effect.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
-    /// With an idempotency key: which servers drop repeats.
+    /// Which servers drop repeats, for classes with an idempotency key.
     pub dedup_scope: DedupScope,
-    /// With an idempotency key: for how long repeats are dropped.
+    /// How long repeats are dropped, for classes with an idempotency key.
     pub dedup_window_us: Micros,
-    /// The answer is a stream: once it has begun it belongs to the client.
+    /// Whether the answer is a stream. Once a stream has begun, the client receives it, so its
+    /// attempt is no longer cancelled or replaced.
     pub streaming: bool,
-    /// Its objects have several parts.
+    /// Whether objects of the class have several parts.
     pub multipart: bool,
-    /// It runs at the origin and is never cached.
+    /// Whether the request is a write, which runs at the origin and is never cached.
     pub is_write: bool,
-    /// How long a copy is fresh; 0: until it is purged.
+    /// How long a copy is fresh; 0 if it is fresh until it is purged.
     pub freshness_lifetime_us: Micros,
-    /// How long past that it may still be served.
+    /// How long a copy may still be served after its freshness lifetime.
     pub stale_grace_us: Micros,
-    /// Share of the weight that a stale answer earns.
+    /// Share of the priority weight with which a stale answer counts.
     pub stale_weight: f64,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as requests carry it.
+    /// The tenant's name, as in requests.
     pub name: String,
-    /// Requests per second within its quota, over all edge proxies.
+    /// The tenant's quota in requests per second, over all edge proxies.
     pub quota_rps: f64,
 }
 
-/// A zone: a location with cache servers and edge proxies, or a hub with parents.
+/// A zone, which is a location with cache servers and edge proxies, or a hub with parents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Its name, as the endpoint list carries it.
+    /// The zone's name, as in the endpoint list.
     pub name: String,
-    /// How many edge proxies serve it.
+    /// Number of edge proxies in the zone.
     pub edge_proxies: u32,
-    /// Index of the zone that is its hub.
+    /// Index of the zone that is the hub of this one.
     pub hub: usize,
-    /// What its one link for fills carries, in KB per second; 0: unknown.
+    /// Rate of the link that all fills of the zone share, in KB per second; 0 if unknown.
     pub link_kb_per_s: f64,
 }
 
-/// Which cache servers may be the source of another one's fill.
+/// Which cache servers may be the fill source of another cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFill {
-    /// None.
+    /// No cache server.
     Off,
-    /// Those of the same location.
+    /// Cache servers of the same location.
     SameLocation,
-    /// Any.
+    /// Any cache server.
     Any,
 }
 
-/// What answers tell about where they came from.
+/// What answers report about where they came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Provenance {
-    /// How each answer was made, and why a fill failed.
+    /// Where each answer came from, and why a fill failed.
     Full,
-    /// Only whether it was a cache hit.
+    /// Only whether the answer was a cache hit.
     HitOnly,
     /// Nothing.
     Off,
@@ -114,167 +117,169 @@
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// Answers and probe results.
+    /// From answers and probe results.
     Answers,
-    /// Probe results only.
+    /// From probe results only.
     Probes,
-    /// There are none.
+    /// There are no load reports.
     Off,
 }
 
-/// The limits that a router must keep; see the deployment's rules.
+/// The limits of the deployment that a router must respect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A draining or departed server gets nothing new later than this after the router was
-    /// notified.
+    /// How long after the router was notified a draining or departed server may still receive new
+    /// requests.
     pub drain_grace_us: Micros,
-    /// A cache server that has just started has this share of its capacity, or more.
+    /// Smallest share of its capacity that a cache server has when it starts, from 0 to 1.
     pub warm_up_initial_share: f64,
-    /// It is warm after this long at most.
+    /// Longest time until a cache server has its full capacity after its start.
     pub warm_up_us: Micros,
-    /// Sent more than this multiple of its present capacity for `overload_window_us`, it collapses.
+    /// A cache server collapses if it receives more than this multiple of its present capacity for
+    /// `overload_window_us`.
     pub overload_multiple: f64,
-    /// See `overload_multiple`; also holds for parents.
+    /// The time to which `overload_multiple` and `parent_overload_multiple` refer.
     pub overload_window_us: Micros,
-    /// As `warm_up_initial_share`, for parents.
+    /// Like `warm_up_initial_share`, for parents.
     pub parent_warm_up_initial_share: f64,
-    /// As `warm_up_us`, for parents.
+    /// Like `warm_up_us`, for parents.
     pub parent_warm_up_us: Micros,
-    /// As `overload_multiple`, for parents.
+    /// Like `overload_multiple`, for parents.
     pub parent_overload_multiple: f64,
-    /// A purge must be respected from this long after the router was notified.
+    /// How long after the router was notified of a purge older copies may still be served.
     pub purge_grace_us: Micros,
-    /// After this long the servers have dropped older copies by themselves.
+    /// Time after a purge until all servers have dropped older copies by themselves.
     pub purge_completion_us: Micros,
-    /// Where the endpoint list is polled: without an update for this long, a router counts as
-    /// notified.
+    /// Applies where the endpoint list is polled. A router that has received no update for this
+    /// long counts as notified.
     pub poll_within_us: Micros,
 }
 
-/// Everything that a router starts with.
+/// All settings that a router starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants. The list may be empty.
     pub tenants: Vec<Tenant>,
     /// All zones.
     pub zones: Vec<Zone>,
     /// The router's own zone, as an index into `zones`.
     pub zone: usize,
-    /// The kind of server that is a parent, if the deployment has any.
+    /// The server kind of parents, or None if the deployment has no parents.
     pub parent_kind: Option<String>,
-    /// The kind of server that is the origin.
+    /// The server kind of the origin.
     pub origin_kind: String,
-    /// The endpoint list must be polled; otherwise it is pushed.
+    /// Whether the endpoint list must be polled. Otherwise updates are pushed.
     pub poll_endpoint_list: bool,
-    /// Parents and the origin take requests too.
+    /// Whether requests may be sent directly to parents and the origin.
     pub direct_requests: bool,
-    /// A request may wait for a fill that is under way (collapsed forwarding).
+    /// Whether a request may wait for a fill in progress (collapsed forwarding).
     pub coalescing: bool,
-    /// Which cache servers may fill others.
+    /// Which cache servers may be fill sources of other cache servers.
     pub peer_fill: PeerFill,
-    /// What answers tell about where they came from.
+    /// What answers report about where they came from.
     pub provenance: Provenance,
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
-    /// Weights in the endpoint list are link capacities in transfers at full rate.
+    /// Whether the weights in the endpoint list are link capacities in transfers at full rate.
     pub weights_known: bool,
-    /// Rate of one transfer to a client at most, in KB per second; 0: unknown.
+    /// Maximum rate of one transfer to a client, in KB per second; 0 if unknown.
     pub transfer_kb_per_s: f64,
-    /// Most attempts for a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time (hedged requests).
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probing: bool,
-    /// Rejections tell clients when to retry.
+    /// Whether rejections tell clients when to retry (Retry-After).
     pub retry_after: bool,
-    /// The longest such advice that clients follow.
+    /// Longest Retry-After that clients follow.
     pub max_retry_after_us: Micros,
-    /// The origin stops for a while at this multiple of its capacity; 0: it does not.
+    /// Multiple of its capacity at which the origin stops answering for a while; 0 if it never
+    /// does.
     pub origin_overload_multiple: f64,
-    /// The limits that the router must keep.
+    /// The limits that the router must respect.
     pub rules: Rules,
 }
 
 impl Class {
-    /// How long a copy is fresh; none: until it is purged.
+    /// Returns how long a copy is fresh, or None if it is fresh until it is purged.
     pub(crate) fn lifetime_us(&self) -> Option<Micros> {
         (self.freshness_lifetime_us > 0).then_some(self.freshness_lifetime_us)
     }
 }
 
-/// The limits that hold for a server after its start.
+/// The limits of a server that is warming up after its start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUp {
-    /// Share of its capacity that it starts with, from 0 to 1.
+    /// Share of its capacity that the server starts with, from 0 to 1.
     pub(crate) initial_share: f64,
-    /// It is warm after this long at most.
-    pub(crate) time_us: Micros,
-    /// It collapses at this multiple of its present capacity.
+    /// Longest time until the server has its full capacity after its start.
+    pub(crate) duration_us: Micros,
+    /// Multiple of its present capacity at which the server collapses.
     pub(crate) overload_multiple: f64,
-    /// Edge proxies that send to it.
-    pub(crate) routers: u32,
+    /// Number of edge proxies that send requests to the server.
+    pub(crate) router_count: u32,
 }
 
 impl Settings {
-    /// The router's own zone.
+    /// Returns the router's own zone.
     pub(crate) fn own_zone(&self) -> &Zone {
         &self.zones[self.zone]
     }
 
-    /// Index of the zone of this name.
+    /// Returns the index of the zone with this name, or None if there is none.
     pub(crate) fn zone_index(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone.name == name)
     }
 
-    /// Index of the class of this name.
+    /// Returns the index of the class with this name, or None if there is none.
     pub(crate) fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The limits for a cache of the router's own zone after its start.
+    /// Returns the limits of a cache of the router's own zone that is warming up.
     pub(crate) fn cache_warm_up(&self) -> WarmUp {
         WarmUp {
             initial_share: self.rules.warm_up_initial_share,
-            time_us: self.rules.warm_up_us,
+            duration_us: self.rules.warm_up_us,
             overload_multiple: self.rules.overload_multiple,
-            routers: self.own_zone().edge_proxies,
+            router_count: self.own_zone().edge_proxies,
         }
     }
 
-    /// The limits for a parent after its start; all zones send to it.
+    /// Returns the limits of a parent that is warming up. The proxies of all zones send to it.
     pub(crate) fn parent_warm_up(&self) -> WarmUp {
         WarmUp {
             initial_share: self.rules.parent_warm_up_initial_share,
-            time_us: self.rules.parent_warm_up_us,
+            duration_us: self.rules.parent_warm_up_us,
             overload_multiple: self.rules.parent_overload_multiple,
-            routers: self.zones.iter().map(|zone| zone.edge_proxies).sum(),
+            router_count: self.zones.iter().map(|zone| zone.edge_proxies).sum(),
         }
     }
 
-    /// Edge proxies of the router's own zone besides its own.
-    pub(crate) fn other_routers(&self) -> f64 {
+    /// Returns the number of other edge proxies in the router's own zone.
+    pub(crate) fn other_router_count(&self) -> f64 {
         f64::from(self.own_zone().edge_proxies.max(1)) - 1.0
     }
 
-    /// Time in seconds that a transfer of this size takes alone; none: the size or the rate is
-    /// unknown.
+    /// Returns the time in seconds that a transfer of this size takes if it shares no link, or None
+    /// if the size or the rate is unknown.
     pub(crate) fn transfer_s(&self, size_kb: f64) -> Option<f64> {
         let known = self.transfer_kb_per_s > 0.0 && size_kb > 0.0;
         known.then(|| size_kb / self.transfer_kb_per_s)
     }
 
-    /// A rate in KB per second as a number of transfers at full rate.
-    pub(crate) fn transfers(&self, rate_kb_per_s: f64) -> f64 {
+    /// Returns how many transfers at full rate add up to a rate.
+    pub(crate) fn full_rate_transfers(&self, rate_kb_per_s: f64) -> f64 {
         rate_kb_per_s / self.transfer_kb_per_s.max(1.0)
     }
 
-    /// Mean rate in KB per second of the zones' links, without those that are unknown.
-    pub(crate) fn mean_link_kb_per_s(&self) -> f64 {
+    /// Returns the mean rate of the zones' links in KB per second, without links of unknown rate.
+    pub(crate) fn mean_known_link_kb_per_s(&self) -> f64 {
         let known = self.zones.iter().filter(|zone| zone.link_kb_per_s > 0.0);
         let sum: f64 = self.zones.iter().map(|zone| zone.link_kb_per_s).sum();
         sum / known.count().max(1) as f64
--- a/crates/routing/src/settings/validation.rs
+++ b/crates/routing/src/settings/validation.rs
@@ -1,23 +1,23 @@
-//! Whether a router can work with its settings.
+//! Validation of a router's settings.
 
 use super::Settings;
 
-/// Why settings can't be used.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class of requests.
-    #[error("settings name no class of requests")]
+    /// There is no request class.
+    #[error("settings contain no request class")]
     NoClasses,
-    /// The router's zone, or a zone's hub, is not among the zones.
-    #[error("settings name a zone that is not among the zones")]
+    /// The router's own zone or the hub of a zone is not in the list of zones.
+    #[error("settings refer to a zone that is not in the list of zones")]
     UnknownZone,
-    /// A figure is zero, negative or not a number where that can't be.
-    #[error("settings hold an unusable figure: {0}")]
+    /// The value with this name is negative, not finite, or zero where it must be positive.
+    #[error("settings contain an invalid value: {0}")]
     InvalidValue(&'static str),
 }
 
 impl Settings {
-    /// Checks that a router can work with these settings.
+    /// Checks the settings and returns the first error.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -26,13 +26,13 @@
         if self.zone >= zones || self.zones.iter().any(|zone| zone.hub >= zones) {
             return Err(SettingsError::UnknownZone);
         }
-        let not_negative = self.not_negative();
-        let positive = self.positive();
-        let invalid = not_negative
+        let non_negative_values = self.non_negative_values();
+        let positive_values = self.positive_values();
+        let invalid = non_negative_values
             .iter()
             .find(|(_, value)| !value.is_finite() || *value < 0.0)
             .or_else(|| {
-                positive
+                positive_values
                     .iter()
                     .find(|(_, value)| !value.is_finite() || *value <= 0.0)
             });
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Figures that may be zero but not negative, with their names.
-    fn not_negative(&self) -> Vec<(&'static str, f64)> {
+    /// Returns the values that may be zero but not negative, with their names.
+    fn non_negative_values(&self) -> Vec<(&'static str, f64)> {
         let mut values = vec![
             ("transfer rate", self.transfer_kb_per_s),
             ("origin overload multiple", self.origin_overload_multiple),
@@ -70,8 +70,8 @@
         values
     }
 
-    /// Figures that must be above zero, with their names.
-    fn positive(&self) -> Vec<(&'static str, f64)> {
+    /// Returns the values that must be positive, with their names.
+    fn positive_values(&self) -> Vec<(&'static str, f64)> {
         let mut values = vec![
             ("attempts", f64::from(self.max_attempts)),
             ("overload multiple", self.rules.overload_multiple),
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -93,12 +93,12 @@
     pub(crate) fn warm_up_fraction(&self, at: Micros) -> f64 {
         let WarmUp {
             initial_share,
-            time_us,
+            duration_us,
             ..
         } = self.warm_up;
         let since = self.started_at.max(self.recovered_at);
         let age_us = since.map_or(Micros::MAX, |since| at.saturating_sub(since));
-        let grown = (1.0 - initial_share) * age_us as f64 / time_us.max(1) as f64;
+        let grown = (1.0 - initial_share) * age_us as f64 / duration_us.max(1) as f64;
         (initial_share + grown).min(1.0)
     }
 
@@ -252,7 +252,7 @@
             cell: endpoint.cell,
             weight: if weight_usable { endpoint.weight } else { 1.0 },
             lifecycle: endpoint.state,
-            started_at: endpoint.started,
+            started_at: endpoint.started_at,
             unreachable: false,
             recovered_at: None,
             failure_rate: 0.0,
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -80,7 +80,7 @@
         kind: kind.into(),
         weight: 4.0,
         state: EndpointState::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -158,7 +158,7 @@
     servers.connection_failed(1);
     servers.change(1, |server| server.failure_rate = 0.4);
     let restarted = Endpoint {
-        started: Some(SECOND_US),
+        started_at: Some(SECOND_US),
         ..cache(1)
     };
     servers.update(EndpointListMode::Delta, vec![restarted], &settings());
@@ -183,7 +183,7 @@
 fn capacity_grows_in_a_line_from_the_start_to_the_end_of_the_warm_up() {
     let mut servers = servers();
     let restarted = Endpoint {
-        started: Some(20 * SECOND_US),
+        started_at: Some(20 * SECOND_US),
         ..cache(1)
     };
     servers.update(EndpointListMode::Delta, vec![restarted], &settings());
--- a/crates/routing/tests/cancellation.rs
+++ b/crates/routing/tests/cancellation.rs
@@ -42,7 +42,7 @@
     let mut endpoints = fleet();
     for endpoint in &mut endpoints {
         if endpoint.kind == "cache" {
-            endpoint.started = Some(started);
+            endpoint.started_at = Some(started);
         }
     }
     let mut harness = Harness::new(settings(), endpoints);
--- a/crates/routing/tests/purges.rs
+++ b/crates/routing/tests/purges.rs
@@ -105,7 +105,7 @@
 fn the_age_limit_follows_a_purge_that_turns_out_to_lie_further_back() {
     let mut harness = Harness::with_defaults();
     harness.handle(object_purge("/o/a", 0));
-    harness.handle(Event::TimesMovedBack { by_us: 2 * SECOND });
+    harness.handle(Event::TimestampsMovedEarlier { by_us: 2 * SECOND });
     assert_eq!(
         harness.forward(VIDEO, "/o/a").fill.max_age_us,
         Some(2 * SECOND)
@@ -116,6 +116,6 @@
 fn the_time_of_a_permanent_purge_is_this_routers_own() {
     let mut harness = Harness::with_defaults();
     harness.handle(permanent_group_purge());
-    harness.handle(Event::TimesMovedBack { by_us: 2 * SECOND });
+    harness.handle(Event::TimestampsMovedEarlier { by_us: 2 * SECOND });
     assert_eq!(harness.forward(VIDEO, "/o/a").fill.max_age_us, Some(1));
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -26,7 +26,7 @@
     let mut settings = settings_without_direct_requests();
     settings.zones[LOCAL_ZONE].edge_proxies = edge_proxies;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-    endpoints[0].started = Some(START_TIME);
+    endpoints[0].started_at = Some(START_TIME);
     let mut harness = Harness::new(settings, endpoints);
     (0..200)
         .filter_map(|index| harness.submit(VIDEO, &format!("/o/{index}")).attempt())
@@ -53,7 +53,7 @@
     const BUDGET: usize = 30;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
     endpoints[0].weight = UNLIMITED_CAPACITY;
-    endpoints[1].started = Some(START_TIME);
+    endpoints[1].started_at = Some(START_TIME);
     let mut harness = Harness::new(settings_without_direct_requests(), endpoints);
     let fills = (0..300)
         .filter_map(|index| harness.submit(PAGE, &format!("/o/{index}")).attempt())
@@ -317,7 +317,7 @@
     }
     // A server that is warming up gets what fits its budget, by the typical transfer time.
     harness.handle(endpoint_delta(vec![Endpoint {
-        started: Some(harness.now - 2 * SECOND),
+        started_at: Some(harness.now - 2 * SECOND),
         ..cache_server(warming_up)
     }]));
     let servers = harness.servers_of_objects(60);
@@ -330,9 +330,9 @@
         let mut settings = settings_without_direct_requests();
         settings.zones[LOCAL_ZONE].edge_proxies = 1;
         let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-        endpoints[0].started = Some(START_TIME);
+        endpoints[0].started_at = Some(START_TIME);
         let mut harness = Harness::new(settings, endpoints);
-        harness.handle(Event::TimesMovedBack { by_us: moved_back });
+        harness.handle(Event::TimestampsMovedEarlier { by_us: moved_back });
         (0..200)
             .filter_map(|index| harness.submit(VIDEO, &format!("/o/{index}")).attempt())
             .count()
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -215,7 +215,7 @@
             CACHE_CAPACITY
         },
         state: EndpointState::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -254,7 +254,7 @@
     let mut endpoints = fleet();
     for endpoint in &mut endpoints {
         if endpoint.id == server {
-            endpoint.started = Some(started);
+            endpoint.started_at = Some(started);
         }
     }
     endpoints
--- a/crates/sim-adapter/src/action_message.rs
+++ b/crates/sim-adapter/src/action_message.rs
@@ -215,6 +215,6 @@
 fn fill_flags(fill: &Fill) -> u8 {
     u8::from(fill.coalesce)
         + 2 * u8::from(fill.only_if_cached)
-        + 4 * u8::from(fill.bypass_parent)
+        + 4 * u8::from(fill.parent_no_store)
         + 8 * u8::from(fill.background_refresh)
 }
--- a/crates/sim-adapter/src/event_message.rs
+++ b/crates/sim-adapter/src/event_message.rs
@@ -279,7 +279,7 @@
                 2 => routing::EndpointState::Draining,
                 _ => routing::EndpointState::Gone,
             },
-            started: Some(WholeNumber::or(entry.started, 0)).filter(|started| *started > 0),
+            started_at: Some(WholeNumber::or(entry.started, 0)).filter(|started| *started > 0),
         }
     }
 }
