--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -38,7 +38,7 @@
 //!     classes: vec![class],
 //!     tenants: vec![],
 //!     zones: vec![zone("hub", 0, 0), zone("town", 1, 0)],
-//!     zone: 1,
+//!     own_zone_index: 1,
 //!     parent_kind: None,
 //!     origin_kind: "origin".into(),
 //!     poll_endpoint_list: false,
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -17,8 +17,8 @@
 /// Replaces [`MAX_LINK_TIME_SHARE`] for requests of unknown size. It is higher, because all these
 /// requests of a class are refused together.
 const MAX_LINK_TIME_SHARE_UNKNOWN_SIZE: f64 = 0.5;
-/// Stretch (actual transfer time divided by the time without sharing) from which on transfers
-/// overload the link that they share.
+/// Stretch at which transfers overload the link that they share. The stretch is the time that
+/// transfers took, divided by the time that they would have taken without sharing.
 const OVERLOAD_STRETCH_FACTOR: f64 = 1.3;
 /// Time after the last fill during which the pace of fills shows the link's capacity.
 const LINK_PACE_MAX_AGE_US: Micros = 1_500_000;
@@ -30,8 +30,8 @@
 const FILL_WAIT_TRANSFER_TIMES: f64 = 1.5;
 /// Factor by which a late or failed fill from the origin lowers the share of admitted requests.
 const ORIGIN_ADMISSION_LATE_FACTOR: f64 = 0.85;
-/// How many times a single fill applies that factor at most. Later fills apply it more often,
-/// because a long queue at the origin takes long to become visible.
+/// How many times a single fill applies that factor at most. The later a fill is, the more often it
+/// applies the factor, because a long queue at the origin takes long to become visible.
 const MAX_ORIGIN_ADMISSION_LATE_FACTORS: f64 = 3.0;
 /// Added to the share of admitted requests for each fill that the origin answers in time.
 const ORIGIN_ADMISSION_SUCCESS_STEP: f64 = 0.04;
@@ -126,9 +126,9 @@
     }
 
     /// Returns how many transfers a server's link carries at full rate. If the weights do not state
-    /// this, it is estimated from the links of the locations. Those carry only misses, so the link
-    /// of a cache carries more than an equal part of one, and a parent is built for more than one
-    /// location.
+    /// this, it is estimated from the links of the locations. This estimate is low: those links
+    /// carry only misses, so a cache has more than its part of one, and a parent is built for more
+    /// than one location.
     pub(super) fn nominal_capacity(&self, server: &ServerState) -> f64 {
         if self.settings.weights_known {
             return server.weight;
--- a/crates/routing/src/policy/attempt_end.rs
+++ b/crates/routing/src/policy/attempt_end.rs
@@ -18,7 +18,7 @@
 /// Added to the failure rates of server and source before a failure is divided between them, so
 /// that neither rate is 0.
 const PRIOR_FAILURE_RATE: f64 = FAILURE_RATE_SAMPLE_WEIGHT / 4.0;
-/// Share of a failure from which on the source counts as being at fault.
+/// Smallest share of a failure at which the source counts as being at fault.
 const MIN_SOURCE_FAULT_SHARE: f64 = 0.5;
 /// Lower bound of the capacity that is used to explain the duration of a hit, in transfers at full
 /// rate.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -28,7 +28,7 @@
 const FIRST_EVICTION_COUNT: f64 = 0.25;
 /// Number of remembered purges. Permanent purges are kept beyond it.
 const MAX_REMEMBERED_PURGES: usize = 40_000;
-/// Decayed number of transfers from which on their pace is known.
+/// Decayed number of transfers that is sufficient to know their pace.
 const MIN_PACE_SAMPLES: f64 = 2.0;
 /// Time between two sweeps over servers and attempts in flight.
 const SWEEP_INTERVAL_US: Micros = 50_000;
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -13,8 +13,8 @@
 /// Number of servers that fail a request without a reason before the request counts as being at
 /// fault.
 const MAX_SERVER_ERRORS: u32 = 2;
-/// Decayed request count from which on a part counts as requested repeatedly. Its copies get a
-/// higher retention rank, so that a scan of objects that are requested once does not evict them.
+/// Decayed request count at which a part counts as requested repeatedly. Its copies get a higher
+/// retention rank, so that a scan of objects that are requested once does not evict them.
 const REPEATED_REQUEST_COUNT: f64 = 1.3;
 /// Time that an answer takes besides its transfer.
 pub(super) const ANSWER_OVERHEAD_S: f64 = 0.02;
@@ -26,8 +26,8 @@
 const MIN_MEASURED_TRANSFER_S: f64 = 0.001;
 /// Share of the answers of a class that count as slow.
 const SLOW_ANSWER_SHARE: f64 = 0.02;
-/// Largest relative change of the slow ratio by one answer. The slow ratio is the time from which
-/// on an answer counts as slow, divided by a baseline of its class.
+/// Largest relative change of the slow ratio by one answer. The slow ratio is the time after which
+/// an answer counts as slow, divided by the baseline of its class.
 const SLOW_RATIO_STEP: f64 = 0.2;
 /// Slow ratio before any answer was received.
 const INITIAL_SLOW_RATIO: f64 = 4.0;
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -165,7 +165,7 @@
     /// All zones.
     pub zones: Vec<Zone>,
     /// The router's own zone, as an index into `zones`.
-    pub zone: usize,
+    pub own_zone_index: usize,
     /// The server kind of parents, or None if the deployment has no parents.
     pub parent_kind: Option<String>,
     /// The server kind of the origin.
@@ -228,7 +228,7 @@
 impl Settings {
     /// Returns the router's own zone.
     pub(crate) fn own_zone(&self) -> &Zone {
-        &self.zones[self.zone]
+        &self.zones[self.own_zone_index]
     }
 
     /// Returns the index of the zone with this name, or None if there is none.
--- a/crates/routing/src/settings/validation.rs
+++ b/crates/routing/src/settings/validation.rs
@@ -23,7 +23,7 @@
             return Err(SettingsError::NoClasses);
         }
         let zones = self.zones.len();
-        if self.zone >= zones || self.zones.iter().any(|zone| zone.hub >= zones) {
+        if self.own_zone_index >= zones || self.zones.iter().any(|zone| zone.hub >= zones) {
             return Err(SettingsError::UnknownZone);
         }
         let non_negative_values = self.non_negative_values();
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -26,7 +26,7 @@
         } else if settings.origin_kind == kind {
             Some(Role::Origin)
         } else {
-            (zone == Some(settings.zone)).then_some(Role::Cache)
+            (zone == Some(settings.own_zone_index)).then_some(Role::Cache)
         }
     }
 }
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -38,7 +38,7 @@
         classes: vec![class()],
         tenants: vec![],
         zones: vec![zone("hub", 0), zone("town", 2), zone("shore", 3)],
-        zone: 1,
+        own_zone_index: 1,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         poll_endpoint_list: false,
--- a/crates/routing/tests/settings.rs
+++ b/crates/routing/tests/settings.rs
@@ -19,7 +19,7 @@
         Some(SettingsError::NoClasses)
     );
     assert_eq!(
-        error_after(|settings| settings.zone = 3),
+        error_after(|settings| settings.own_zone_index = 3),
         Some(SettingsError::UnknownZone)
     );
     assert_eq!(
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -165,7 +165,7 @@
         classes: classes(),
         tenants: vec![],
         zones: zones(),
-        zone: LOCAL_ZONE,
+        own_zone_index: LOCAL_ZONE,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         poll_endpoint_list: false,
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -19,7 +19,7 @@
         tenants: tenants(document.customers.unwrap_or_default()),
         zones,
         // An index that no zone has: `Settings::validate` rejects it.
-        zone: own_zone.unwrap_or(usize::MAX),
+        own_zone_index: own_zone.unwrap_or(usize::MAX),
         parent_kind: kind(&document.kinds, family.parent_kind),
         origin_kind: kind(&document.kinds, family.origin_kind).unwrap_or_default(),
         poll_endpoint_list: document.discovery.as_deref() == Some("ask"),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -22,7 +22,7 @@
     assert_eq!((class.priority_weight, class.late_weight), (1.0, 0.0));
     assert_eq!((class.multipart, class.is_write), (false, false));
     assert_eq!(settings.zones[0].edge_proxies, 1);
-    assert_eq!(settings.zone, 0);
+    assert_eq!(settings.own_zone_index, 0);
     assert_eq!(settings.max_attempts, 1);
     assert_eq!(
         (settings.parent_kind, settings.origin_kind),
