--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -30,7 +30,7 @@
     pub cell: u64,
     /// Name of the server's kind.
     pub kind: String,
-    /// The server's capacity; see [`Settings::weights_known`](crate::Settings::weights_known).
+    /// The server's capacity; see [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities).
     pub weight: f64,
     /// The server's lifecycle state.
     pub state: EndpointState,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -47,7 +47,7 @@
 //!     peer_fill: PeerFill::Off,
 //!     provenance: Provenance::Full,
 //!     load_reports: LoadReportSource::Off,
-//!     weights_known: true,
+//!     weights_are_capacities: true,
 //!     transfer_kb_per_s: 4_000.0,
 //!     max_attempts: 4,
 //!     hedging: false,
@@ -67,7 +67,7 @@
 //!         parent_overload_multiple: 2.0,
 //!         purge_grace_us: 500_000,
 //!         purge_completion_us: 5_000_000,
-//!         poll_within_us: 0,
+//!         max_poll_interval_us: 0,
 //!     },
 //! };
 //! let mut router = Router::new(settings.clone(), 42)?;
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -130,7 +130,7 @@
     /// carry only misses, so a cache has more than its part of one, and a parent is built for more
     /// than one location.
     pub(super) fn nominal_capacity(&self, server: &ServerState) -> f64 {
-        if self.settings.weights_known {
+        if self.settings.weights_are_capacities {
             return server.weight;
         }
         let link_capacity = self
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -26,7 +26,7 @@
 impl<'a> Selection<'a> {
     /// Ranks the servers for the requested part.
     pub(super) fn new(router: &'a Router, now: Micros, request: &'a RequestState) -> Self {
-        let weighted = router.settings.weights_known;
+        let weighted = router.settings.weights_are_capacities;
         Selection {
             router,
             now,
@@ -52,9 +52,9 @@
         copy_count.ceil().max(1.0) as usize
     }
 
-    /// Picks a cache at random among those that should hold a copy and are not full. If there is
-    /// none, picks the next cache in the rendezvous order that is not full. Returns None if all
-    /// caches are full.
+    /// Picks a cache uniformly at random among those that should hold a copy and are not full. If
+    /// there is none, picks the next cache in the rendezvous order that is not full. Returns None
+    /// if no cache can be used.
     fn pick_cache(&self) -> Option<Target> {
         let tried = &self.request.tried;
         let usable = |cache: &&ServerState| !tried.contains(&cache.id) && self.can_serve(cache);
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -152,7 +152,7 @@
     pub purge_completion_us: Micros,
     /// Applies where the endpoint list is polled. A router that has received no update for this
     /// long counts as notified.
-    pub poll_within_us: Micros,
+    pub max_poll_interval_us: Micros,
 }
 
 /// All settings that a router starts with.
@@ -183,7 +183,7 @@
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
     /// Whether the weights in the endpoint list are link capacities in transfers at full rate.
-    pub weights_known: bool,
+    pub weights_are_capacities: bool,
     /// Maximum rate of one transfer to a client, in KB per second; 0 if unknown.
     pub transfer_kb_per_s: f64,
     /// Maximum number of attempts of a request.
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -155,7 +155,7 @@
         parent_overload_multiple: 2.0,
         purge_grace_us: 500 * MILLISECOND,
         purge_completion_us: PURGE_COMPLETION,
-        poll_within_us: 0,
+        max_poll_interval_us: 0,
     }
 }
 
@@ -174,7 +174,7 @@
         peer_fill: PeerFill::Off,
         provenance: Provenance::Full,
         load_reports: LoadReportSource::Off,
-        weights_known: true,
+        weights_are_capacities: true,
         transfer_kb_per_s: TRANSFER_KB_PER_S,
         max_attempts: 6,
         hedging: false,
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -28,7 +28,7 @@
         peer_fill: peer_fill(family.peer_fill.as_deref()),
         provenance: provenance(family.provenance.as_deref()),
         load_reports: load_reports(telemetry.source.as_deref()),
-        weights_known: matches!(document.weights.as_deref(), Some("nominal" | "rough")),
+        weights_are_capacities: matches!(document.weights.as_deref(), Some("nominal" | "rough")),
         transfer_kb_per_s: family.transfer_kb_per_s.unwrap_or(0.0),
         max_attempts: WholeNumber::or(limits.max_attempts, 1) as u32,
         hedging: limits.hedging.unwrap_or(false),
@@ -118,7 +118,7 @@
         parent_overload_multiple: family.parent_overload_multiple.unwrap_or(1.0),
         purge_grace_us: WholeNumber::or(family.purge_grace_us, 0),
         purge_completion_us: WholeNumber::or(family.purge_completion_us, 0),
-        poll_within_us: WholeNumber::or(rules.poll_within_us, 0),
+        max_poll_interval_us: WholeNumber::or(rules.poll_within_us, 0),
     }
 }
 
