--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -26,7 +26,7 @@
         } else if settings.origin_kind == kind {
             Some(Role::Origin)
         } else {
-            (zone_index == Some(settings.zone)).then_some(Role::Cache)
+            (zone_index == Some(settings.own_zone_index)).then_some(Role::Cache)
         }
     }
 }
@@ -97,12 +97,12 @@
     pub(crate) fn warm_up_capacity_share(&self, at: Micros) -> f64 {
         let WarmUp {
             initial_share,
-            time_us,
+            duration_us,
             ..
         } = self.warm_up;
         let since = self.started_at.max(self.recovered_at);
         let age_us = since.map_or(Micros::MAX, |since| at.saturating_sub(since));
-        let grown = (1.0 - initial_share) * age_us as f64 / time_us.max(1) as f64;
+        let grown = (1.0 - initial_share) * age_us as f64 / duration_us.max(1) as f64;
         (initial_share + grown).min(1.0)
     }
 
@@ -260,7 +260,7 @@
             cell: endpoint.cell,
             weight: if weight_usable { endpoint.weight } else { 1.0 },
             lifecycle: endpoint.state,
-            started_at: endpoint.started,
+            started_at: endpoint.started_at,
             unreachable: false,
             recovered_at: None,
             failure_rate: 0.0,
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -38,7 +38,7 @@
         classes: vec![class()],
         tenants: vec![],
         zones: vec![zone("hub", 0), zone("town", 2), zone("shore", 3)],
-        zone: 1,
+        own_zone_index: 1,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         poll_endpoint_list: false,
@@ -47,7 +47,7 @@
         peer_fill: PeerFill::Off,
         provenance: Provenance::Full,
         load_reports: LoadReportSource::Off,
-        weights_known: true,
+        weights_are_capacities: true,
         transfer_kb_per_s: 4_000.0,
         max_attempts: 4,
         hedging: false,
@@ -67,7 +67,7 @@
             parent_overload_multiple: 2.0,
             purge_grace_us: 0,
             purge_completion_us: 5 * SECOND_US,
-            poll_within_us: 0,
+            max_poll_interval_us: 0,
         },
     }
 }
@@ -80,7 +80,7 @@
         kind: kind.into(),
         weight: 4.0,
         state: EndpointState::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -179,7 +179,7 @@
     servers.record_connection_failure(1);
     servers.change(1, |server| server.failure_rate = 0.4);
     let restarted = Endpoint {
-        started: Some(SECOND_US),
+        started_at: Some(SECOND_US),
         ..cache_server(1)
     };
     servers.update(EndpointListMode::Delta, vec![restarted], &settings());
@@ -210,7 +210,7 @@
 fn capacity_grows_linearly_from_the_start_to_the_end_of_the_warm_up() {
     let mut servers = server_table();
     let restarted = Endpoint {
-        started: Some(20 * SECOND_US),
+        started_at: Some(20 * SECOND_US),
         ..cache_server(1)
     };
     servers.update(EndpointListMode::Delta, vec![restarted], &settings());
--- a/crates/routing/tests/purges.rs
+++ b/crates/routing/tests/purges.rs
@@ -114,7 +114,7 @@
 fn the_age_limit_grows_when_the_time_of_a_purge_is_moved_back() {
     let mut harness = Harness::with_defaults();
     harness.handle(object_purge("/o/a", 0));
-    harness.handle(Event::TimesMovedBack {
+    harness.handle(Event::TimestampsMovedEarlier {
         by_us: 2 * SECOND_US,
     });
     assert_eq!(
@@ -129,7 +129,7 @@
 fn the_time_of_a_permanent_purge_is_not_moved_back() {
     let mut harness = Harness::with_defaults();
     harness.handle(permanent_group_purge());
-    harness.handle(Event::TimesMovedBack {
+    harness.handle(Event::TimestampsMovedEarlier {
         by_us: 2 * SECOND_US,
     });
     assert_eq!(harness.forward(VIDEO, "/o/a").fill.max_age_us, Some(1));
--- a/crates/routing/tests/settings.rs
+++ b/crates/routing/tests/settings.rs
@@ -21,7 +21,7 @@
         Some(SettingsError::NoClasses)
     );
     assert_eq!(
-        error_after(|settings| settings.zone = 3),
+        error_after(|settings| settings.own_zone_index = 3),
         Some(SettingsError::UnknownZone)
     );
     assert_eq!(
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -26,7 +26,7 @@
     let mut settings = settings_without_direct_requests();
     settings.zones[LOCAL_ZONE_INDEX].edge_proxies = edge_proxies;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-    endpoints[0].started = Some(START_TIME_US);
+    endpoints[0].started_at = Some(START_TIME_US);
     let mut harness = Harness::new(settings, endpoints);
     (0..200)
         .filter_map(|index| harness.submit(VIDEO, &format!("/o/{index}")).attempt())
@@ -60,7 +60,7 @@
     const BUDGET_TRANSFERS: usize = 30;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
     endpoints[0].weight = UNLIMITED_CAPACITY_TRANSFERS;
-    endpoints[1].started = Some(START_TIME_US);
+    endpoints[1].started_at = Some(START_TIME_US);
     let mut harness = Harness::new(settings_without_direct_requests(), endpoints);
     let fills = (0..300)
         .filter_map(|index| harness.submit(PAGE, &format!("/o/{index}")).attempt())
@@ -342,7 +342,7 @@
     }
     // The typical transfer time determines what fits the budget of a server that is warming up.
     harness.handle(endpoint_delta(vec![Endpoint {
-        started: Some(harness.now - 2 * SECOND_US),
+        started_at: Some(harness.now - 2 * SECOND_US),
         ..cache_server(warming_up)
     }]));
     let servers = harness.servers_of_objects(60);
@@ -359,9 +359,9 @@
         let mut settings = settings_without_direct_requests();
         settings.zones[LOCAL_ZONE_INDEX].edge_proxies = 1;
         let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
-        endpoints[0].started = Some(START_TIME_US);
+        endpoints[0].started_at = Some(START_TIME_US);
         let mut harness = Harness::new(settings, endpoints);
-        harness.handle(Event::TimesMovedBack {
+        harness.handle(Event::TimestampsMovedEarlier {
             by_us: moved_back_us,
         });
         (0..200)
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -156,7 +156,7 @@
         parent_overload_multiple: 2.0,
         purge_grace_us: 500 * MILLISECOND_US,
         purge_completion_us: PURGE_COMPLETION_US,
-        poll_within_us: 0,
+        max_poll_interval_us: 0,
     }
 }
 
@@ -167,7 +167,7 @@
         classes: classes(),
         tenants: vec![],
         zones: zones(),
-        zone: LOCAL_ZONE_INDEX,
+        own_zone_index: LOCAL_ZONE_INDEX,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         poll_endpoint_list: false,
@@ -176,7 +176,7 @@
         peer_fill: PeerFill::Off,
         provenance: Provenance::Full,
         load_reports: LoadReportSource::Off,
-        weights_known: true,
+        weights_are_capacities: true,
         transfer_kb_per_s: TRANSFER_KB_PER_S,
         max_attempts: 6,
         hedging: false,
@@ -217,7 +217,7 @@
             CACHE_CAPACITY_TRANSFERS
         },
         state: EndpointState::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -256,7 +256,7 @@
     let mut endpoints = fleet();
     for endpoint in &mut endpoints {
         if endpoint.id == server {
-            endpoint.started = Some(started);
+            endpoint.started_at = Some(started);
         }
     }
     endpoints
