--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -1,5 +1,5 @@
-//! Where client connections are accepted, of FastCGI clients and of peer CDNs, and when accepting
-//! pauses.
+//! Accepts the connections of FastCGI clients and peer CDNs, and pauses accepting when a resource
+//! is exhausted.
 
 use super::close_reason::CloseReason;
 use super::connections::ConnectionRole;
@@ -12,12 +12,12 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The two listeners.
+/// Identifies one of the two listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
-    /// For the platform's web servers.
+    /// Listener for the web servers of the platform.
     FastCgi,
-    /// For peer CDNs and the clients that they redirect.
+    /// Listener for peer CDNs and the clients that they redirect.
     Interconnect,
 }
 
@@ -30,18 +30,19 @@
     }
 }
 
-/// A listening socket.
+/// A listening socket and whether the poller watches it.
 pub(super) struct Acceptor {
     listener: TcpListener,
     token: u64,
-    /// False while accepting pauses.
-    watched: bool,
-    /// Accepting has failed since then, and connections may have waited all the time.
-    failing_since: Option<Micros>,
+    /// Whether the poller watches the listener. False while accepting is paused.
+    is_watched: bool,
+    /// Time since which accepting has failed, or `None` after a success. Connections may have been
+    /// waiting in the kernel's queue since this time.
+    accept_failing_since: Option<Micros>,
 }
 
 impl Acceptor {
-    /// Listens on an address and has the poller watch it.
+    /// Listens on an address and registers the listener with the poller.
     pub(super) fn bind(
         kind: ListenerKind,
         address: SocketAddr,
@@ -52,8 +53,8 @@
         Ok(Acceptor {
             listener,
             token: kind.token(),
-            watched: true,
-            failing_since: None,
+            is_watched: true,
+            accept_failing_since: None,
         })
     }
 
@@ -61,33 +62,33 @@
         self.listener.local_addr().ok()
     }
 
-    /// Stops watching the listener: unaccepted connections would keep it readable and the loop
-    /// spinning. Where that fails it stays watched.
+    /// Makes the poller ignore the listener. Waiting connections would otherwise keep it readable,
+    /// and the event loop would spin. If the poller returns an error, the listener stays watched.
     fn pause(&mut self, poller: &Poller) {
-        if self.watched {
+        if self.is_watched {
             let paused = poller.change(&self.listener, self.token, Interest::NONE);
-            self.watched = paused.is_err();
+            self.is_watched = paused.is_err();
         }
     }
 
-    /// Watches the listener again.
+    /// Makes the poller watch the listener again.
     fn resume(&mut self, poller: &Poller) -> io::Result<()> {
-        if !self.watched {
+        if !self.is_watched {
             poller.change(&self.listener, self.token, Interest::READ)?;
-            self.watched = true;
+            self.is_watched = true;
         }
         Ok(())
     }
 }
 
-/// Both listeners, and whether a retry of accepting is due.
+/// Both listeners, and whether a retry of accepting is scheduled.
 pub(super) struct Acceptors {
-    /// None once the grace period of a shutdown is over.
+    /// `None` after the grace period of a shutdown.
     pub(super) fastcgi: Option<Acceptor>,
-    /// None where no interconnect is configured.
+    /// `None` if no interconnect is configured.
     pub(super) interconnect: Option<Acceptor>,
-    /// Both listeners may pause; were each to set a timer of its own, each of those timers would
-    /// set two more while the connection table stays full.
+    /// Whether the retry timer is set. Both listeners share it. If each listener had its own, each
+    /// of the timers would set two new timers while the connection table is full.
     retry_scheduled: bool,
 }
 
@@ -114,20 +115,21 @@
         }
     }
 
-    /// Ends accepting for a shutdown. The FastCGI listener stays until the connections that wait
-    /// there are accepted, if that has failed just now; the interconnect's stays bound but unwatched.
+    /// Stops accepting for a shutdown. The FastCGI listener is closed, unless accepting its waiting
+    /// connections has just failed. In that case it stays open until they are accepted. The
+    /// interconnect listener stays bound, but the poller no longer watches it.
     pub(super) fn close(&mut self, poller: &Poller) {
         self.fastcgi
-            .take_if(|acceptor| acceptor.failing_since.is_none());
+            .take_if(|acceptor| acceptor.accept_failing_since.is_none());
         if let Some(interconnect) = &mut self.interconnect {
             interconnect.pause(poller);
         }
     }
 }
 
-/// Whether the next connection in the kernel's queue may be accepted at once, although this one
-/// failed.
-fn concerns_one_connection(e: &io::Error) -> bool {
+/// Returns whether an error of `accept` affects a single connection, so that the next connection in
+/// the kernel's queue can be accepted at once.
+fn affects_single_connection(e: &io::Error) -> bool {
     matches!(
         e.kind(),
         io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
@@ -135,11 +137,11 @@
 }
 
 impl EventLoop {
-    /// Accepts all connections that wait at a listener, as far as there is room for them.
+    /// Accepts the connections that wait at a listener until none is left or no room is left.
     pub(super) fn accept_clients(&mut self, now: Micros, kind: ListenerKind) {
         while self.is_accepting(kind) {
-            // With no room left, connections wait in the kernel's queue and are accepted once
-            // others have ended.
+            // When no room is left, connections wait in the kernel's queue and are accepted after
+            // others are closed.
             let room = self.make_room_for_client(now);
             let Some(acceptor) = self.acceptors.get(kind) else {
                 return;
@@ -148,23 +150,24 @@
             match accepted {
                 Ok((socket, evicted)) => self.add_client(now, kind, socket, evicted),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(e) if concerns_one_connection(&e) => {}
+                Err(e) if affects_single_connection(&e) => {}
                 Err(e) => return self.pause_accepting(now, kind, &e),
             }
         }
-        self.all_accepted(now, kind);
+        self.finish_accepting(now, kind);
     }
 
-    /// No connection waits at a listener: it is watched again, or closed if it was only kept for
-    /// those.
-    fn all_accepted(&mut self, now: Micros, kind: ListenerKind) {
+    /// Completes accepting when no connection waits at a listener any more. Makes the poller watch
+    /// the listener again, or closes the listener if a shutdown kept it only for the waiting
+    /// connections.
+    fn finish_accepting(&mut self, now: Micros, kind: ListenerKind) {
         if !self.is_accepting(kind) {
             return;
         }
         let Some(acceptor) = self.acceptors.get_mut(kind) else {
             return;
         };
-        acceptor.failing_since = None;
+        acceptor.accept_failing_since = None;
         if self.shutdown.is_grace_over() {
             return self.acceptors.close(&self.poller);
         }
@@ -173,24 +176,28 @@
         }
     }
 
-    /// Whether connections are accepted at a listener. After the grace period of a shutdown these
-    /// are only those that wait for it since before.
+    /// Returns whether connections are accepted at a listener. After the grace period of a shutdown
+    /// only connections that were already waiting when accepting failed are accepted.
     fn is_accepting(&self, kind: ListenerKind) -> bool {
         match self.acceptors.get(kind) {
             Some(_) if !self.shutdown.is_grace_over() => true,
-            Some(acceptor) => acceptor.failing_since.is_some(),
+            Some(acceptor) => acceptor.accept_failing_since.is_some(),
             None => false,
         }
     }
 
-    /// No room or no file descriptor is left: accepting goes on in a moment.
+    /// Pauses accepting at a listener, because no room or no file descriptor is left, and schedules
+    /// a retry.
     fn pause_accepting(&mut self, now: Micros, kind: ListenerKind, reason: &io::Error) {
-        log::debug!("accepting on the {kind:?} listener pauses: {reason}");
+        log::debug!(
+            "pausing accept on the {kind:?} listener for {} ms: {reason}",
+            self.limits.accept_retry_us / 1_000
+        );
         let is_full = reason.kind() == io::ErrorKind::OutOfMemory;
         if let Some(acceptor) = self.acceptors.get_mut(kind) {
             acceptor.pause(&self.poller);
             if !is_full {
-                acceptor.failing_since.get_or_insert(now);
+                acceptor.accept_failing_since.get_or_insert(now);
             }
         }
         if !std::mem::replace(&mut self.acceptors.retry_scheduled, true) {
@@ -199,14 +206,15 @@
         }
     }
 
-    /// Accepts again after a pause.
+    /// Resumes accepting on both listeners after a pause.
     pub(super) fn retry_accept(&mut self, now: Micros) {
         self.acceptors.retry_scheduled = false;
         self.accept_clients(now, ListenerKind::FastCgi);
         self.accept_clients(now, ListenerKind::Interconnect);
     }
 
-    /// Adds an accepted connection to the table, in place of the one that is evicted for it.
+    /// Adds an accepted connection to the connection table, and closes the connection that is
+    /// evicted for it.
     fn add_client(
         &mut self,
         now: Micros,
@@ -223,7 +231,7 @@
             return;
         };
         if let Some(evicted) = evicted {
-            self.close(now, evicted, CloseReason::MakesRoom);
+            self.close(now, evicted, CloseReason::Evicted);
         }
         let role = self.client_role(kind);
         let Ok(key) = self.open_connection(now, transport, role) else {
@@ -234,10 +242,16 @@
             now + self.limits.client_request_timeout_us,
             TimerEvent::CheckClient(key),
         );
-        let failing_since = self.acceptors.get(kind).and_then(|it| it.failing_since);
-        if let (Some(since), Some(connection)) = (failing_since, self.connections.get_mut(key)) {
+        let accept_failing_since = self
+            .acceptors
+            .get(kind)
+            .and_then(|acceptor| acceptor.accept_failing_since);
+        if let (Some(since), Some(connection)) =
+            (accept_failing_since, self.connections.get_mut(key))
+        {
             connection.unread_since = Some(since);
-            // After the grace period it is read here, and ends with its answer or without a request.
+            // The connection is read at once. After the grace period it is closed here if it has no
+            // request, or else with its answer.
             self.read_pending_input(now, key);
         }
     }
--- a/crates/proxy/src/event_loop/clients/eviction.rs
+++ b/crates/proxy/src/event_loop/clients/eviction.rs
@@ -1,4 +1,5 @@
-//! Which client connections may be ended for which reason, and which one makes room for a new one.
+//! Inactivity deadlines of client connections, and the choice of the connection to evict for a new
+//! client.
 
 use crate::event_loop::connections::{Connection, ConnectionRole};
 use crate::event_loop::EventLoop;
@@ -7,27 +8,28 @@
 use edge_routing::Micros;
 use std::io;
 
-/// What a client connection does, in the order in which connections make room for others.
+/// Activity class of a client connection, in the order in which connections are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionClass {
-    /// It is shut down from this side, and may be closed.
+    /// The connection is in a lingering close and may be closed at any time.
     Lingering,
-    /// It has sent no request yet.
+    /// The client has not sent a request yet.
     NoRequest,
     /// A request is partially received.
     PartialRequest,
-    /// All its requests are answered.
+    /// All requests on the connection are answered.
     Idle,
-    /// It waits for an answer, or one is on its way out.
+    /// The client awaits an answer, or an answer is being written. Never evicted.
     Busy,
 }
 
-/// When a connection is ended that has been of one class since a given time. None while answers are
-/// owed to it.
-pub(super) fn idle_deadline(
+/// Returns the time at which an inactive connection is closed, in microseconds. The timeout depends
+/// on the class of the connection and starts at `timeout_start`. Returns `None` while requests on
+/// the connection are unanswered.
+pub(super) fn inactivity_deadline(
     class: EvictionClass,
     unanswered_requests: usize,
-    since: Micros,
+    timeout_start: Micros,
     limits: &Limits,
 ) -> Option<Micros> {
     let timeout_us = match class {
@@ -37,14 +39,14 @@
         }
         EvictionClass::Idle => limits.client_idle_timeout_us,
         EvictionClass::Busy if unanswered_requests > 0 => return None,
-        // Its answers are ready, and the client does not take them.
+        // All answers are ready, and the client does not read them.
         EvictionClass::Busy => limits.client_write_timeout_us,
     };
-    Some(since + timeout_us)
+    Some(timeout_start + timeout_us)
 }
 
 impl Connection {
-    /// The class of a client connection; none for the others.
+    /// Returns the class of a client connection, or `None` for any other connection.
     pub(super) fn eviction_class(&self) -> Option<EvictionClass> {
         if matches!(self.role, ConnectionRole::Lingering { .. }) {
             return Some(EvictionClass::Lingering);
@@ -61,28 +63,33 @@
         })
     }
 
-    /// When a client connection that stays as it is will be ended.
-    pub(super) fn idle_deadline(&self, limits: &Limits) -> Option<Micros> {
+    /// Returns the time at which a client connection is closed if it stays inactive. Returns `None`
+    /// while requests on it are unanswered, and for any other connection.
+    pub(super) fn inactivity_deadline(&self, limits: &Limits) -> Option<Micros> {
         let session = self.role.client_session();
         let unanswered = session.map_or(0, |session| session.unanswered());
-        idle_deadline(
+        inactivity_deadline(
             self.eviction_class()?,
             unanswered,
-            self.activity.since,
+            self.activity.timeout_start,
             limits,
         )
     }
 }
 
 impl EventLoop {
-    /// The connection to close for one more client; none where there is room, an error where there
-    /// is none to be made.
+    /// Returns the connection to close so that one more client can be accepted, or `None` if there
+    /// is a free slot.
     ///
-    /// Where the table is full, the connection that is least likely to be used again makes room:
-    /// many connections that never send a request, or clients that send one and keep the connection
-    /// for good, must not shut out all others. A connection that was opened a moment ago is spared,
-    /// because its request is on its way, and so is one whose request has arrived but was not read
-    /// yet.
+    /// When no slot is free, the connection that is least likely to be used again is evicted.
+    /// Connections that never send a request, or that stay open after one request, must not be able
+    /// to lock out all other clients. A connection that was opened a moment ago is not evicted,
+    /// because its request may be on its way. A connection whose request has arrived but is not
+    /// read yet is not evicted either.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error of the kind `OutOfMemory` if no connection can be evicted.
     pub(in crate::event_loop) fn make_room_for_client(
         &mut self,
         now: Micros,
@@ -103,23 +110,25 @@
             if could_not_be_read {
                 return Err(io::ErrorKind::OutOfMemory.into());
             }
-            // Unless it had sent something, and another one is the candidate now.
+            // If input on the candidate was read just now, another connection may be the candidate.
             if self.eviction_candidate(now) == Some(candidate) {
                 return Ok(Some(candidate));
             }
         }
     }
 
-    /// The client connection that is the first to make room: by class, then the one that has been
-    /// in it longest.
+    /// Returns the client connection to evict first: the one of the lowest class, and within a
+    /// class the one with the earliest start of its timeout. Returns `None` if no connection may be
+    /// evicted.
     fn eviction_candidate(&self, now: Micros) -> Option<SlabKey> {
-        let latest_evictable = now.saturating_sub(self.limits.eviction_immunity_us);
+        let latest_evictable_start = now.saturating_sub(self.limits.eviction_immunity_us);
         let rank = |key: SlabKey| {
             let connection = self.connections.get(key)?;
             let class = connection.eviction_class()?;
-            let since = connection.activity.since;
-            let may_leave = class != EvictionClass::Busy && since <= latest_evictable;
-            may_leave.then_some((class, since, key))
+            let timeout_start = connection.activity.timeout_start;
+            let is_evictable =
+                class != EvictionClass::Busy && timeout_start <= latest_evictable_start;
+            is_evictable.then_some((class, timeout_start, key))
         };
         let keys = self.connections.keys();
         let (.., candidate) = keys.into_iter().filter_map(rank).min()?;
--- a/crates/proxy/src/event_loop/clients/fastcgi.rs
+++ b/crates/proxy/src/event_loop/clients/fastcgi.rs
@@ -1,4 +1,5 @@
-//! FastCGI clients: their requests go to the request table, its answers back to them.
+//! FastCGI clients: passes their requests to the request table, and its answers back to the
+//! clients.
 
 use crate::event_loop::connections::{Connection, ConnectionRole};
 use crate::event_loop::EventLoop;
@@ -11,7 +12,8 @@
 use edge_routing::Micros;
 use std::collections::VecDeque;
 
-/// The status by which a load balancer is told whether to send requests here.
+/// Returns the status of the health check, by which a load balancer decides whether to send
+/// requests to this proxy.
 fn health_status(is_ready: bool) -> &'static str {
     if is_ready {
         "200 OK"
@@ -21,8 +23,12 @@
 }
 
 impl EventLoop {
-    /// Handles everything that a FastCGI connection has received. A request whose cancellation has
-    /// come too is not admitted.
+    /// Handles the buffered input of a FastCGI connection. A request whose cancellation has already
+    /// arrived is not admitted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol.
     pub(in crate::event_loop) fn read_fastcgi_client(
         &mut self,
         mut now: Micros,
@@ -32,8 +38,9 @@
         let mut events = VecDeque::new();
         let mut result = self.take_session_events(key, &mut events);
         if unread_us > 0 && !events.is_empty() && result.is_ok() {
-            match self.read_on(key, &mut events) {
-                // Nobody waits for any of it; the connection is closed with its next report.
+            match self.read_further_input(key, &mut events) {
+                // The client no longer waits for any answer. The connection is closed when the
+                // poller reports it next.
                 Ok(IoProgress::PeerClosed | IoProgress::Broken) => return Ok(()),
                 Ok(_) => {}
                 Err(error) => result = Err(error),
@@ -48,11 +55,12 @@
                 SessionEvent::HealthCheck(stream) => self.answer_health_check(key, stream),
                 SessionEvent::Request(stream, mut request) => {
                     request.remaining_us = request.remaining_us.saturating_sub(unread_us);
-                    let behind = events.iter().filter(|event| event.is_request()).count();
-                    self.admit_fastcgi_request(now, key, stream, request, behind);
+                    let requests_behind = events.iter().filter(|event| event.is_request()).count();
+                    self.admit_fastcgi_request(now, key, stream, request, requests_behind);
                 }
             }
-            // After the session knows its request as admitted: an answer may be given at once.
+            // The commands run only after the session has recorded the request as admitted, because
+            // a command may answer the request at once.
             self.execute_commands(now);
             if !events.is_empty() {
                 now = self.clock.now();
@@ -61,7 +69,12 @@
         result
     }
 
-    /// Takes the events out of what is buffered, without the requests that are cancelled among them.
+    /// Appends the events in the input buffer to `events`. Removes the requests whose cancellation
+    /// is among the events.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol.
     fn take_session_events(
         &mut self,
         key: SlabKey,
@@ -80,8 +93,13 @@
         Ok(())
     }
 
-    /// Reads on in what a client has sent meanwhile, as long as more comes.
-    fn read_on(
+    /// Reads the input that has arrived meanwhile and appends its events to `events`. Stops when
+    /// nothing more arrives, or after `Limits::late_reads` reads.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol.
+    fn read_further_input(
         &mut self,
         key: SlabKey,
         events: &mut VecDeque<SessionEvent>,
@@ -98,8 +116,8 @@
         Ok(IoProgress::Advanced)
     }
 
-    /// Admits a request, if there is room for it. That the proxy is not about to end is for the caller
-    /// to see to; it is checked here as an invariant.
+    /// Admits a request and returns its key, or `None` if the request table has no room for it. The
+    /// caller must not call this after the grace period of a shutdown; an invariant checks this.
     pub(in crate::event_loop) fn admit(
         &mut self,
         now: Micros,
@@ -119,8 +137,8 @@
         }
     }
 
-    /// Hands a request to the request table, or rejects it. `requests_behind` were read from the same
-    /// connection after it.
+    /// Passes a request to the request table, or rejects it. `requests_behind` is the number of
+    /// requests that were read after it from the same connection and are not yet handled.
     fn admit_fastcgi_request(
         &mut self,
         now: Micros,
@@ -132,21 +150,24 @@
         let Some((_, session)) = self.connections.fastcgi_client_mut(key) else {
             return;
         };
-        let clients_are_slow = self.clients.unsent_answer_bytes > self.limits.unsent_answer_bytes;
-        // One client's flood must leave room for the requests of the others.
-        let exceeds_share = !self.limits.admits(
+        let unsent_limit_exceeded =
+            self.clients.unsent_answer_bytes > self.limits.unsent_answer_bytes;
+        // A client that sends very many requests must leave room for the requests of other clients.
+        let client_limit_exceeded = !self.limits.admits(
             session.unanswered() - requests_behind,
             self.request_table.is_half_full(),
         );
-        let rejected = clients_are_slow || exceeds_share || self.shutdown.is_grace_over();
+        let rejected =
+            unsent_limit_exceeded || client_limit_exceeded || self.shutdown.is_grace_over();
         let target = ResponseTarget {
             connection: key,
             stream: u32::from(stream),
         };
         let request_key = if rejected {
             log::debug!(
-                "request {}: refused: clients are slow: {clients_are_slow}, over its share: \
-                 {exceeds_share}, shutting down: {}",
+                "request {}: rejected: limit of unsent answer bytes exceeded: \
+                 {unsent_limit_exceeded}, limit of requests per client exceeded: \
+                 {client_limit_exceeded}, shutting down: {}",
                 request.id,
                 self.shutdown.is_grace_over()
             );
@@ -168,7 +189,7 @@
         }
     }
 
-    /// Gives a client its final answer, on whichever front end it asked.
+    /// Sends a client the final answer to its request, over the protocol of its connection.
     pub(in crate::event_loop) fn respond(
         &mut self,
         now: Micros,
@@ -190,7 +211,8 @@
         }
     }
 
-    /// Writes as much of a FastCGI connection's answers as its client takes.
+    /// Writes the answers on a FastCGI connection until all are written or the socket accepts no
+    /// more.
     pub(in crate::event_loop) fn write_fastcgi_client(&mut self, key: SlabKey) {
         let Some(Connection {
             transport,
--- a/crates/proxy/src/event_loop/clients/mod.rs
+++ b/crates/proxy/src/event_loop/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Client connections of both listeners: what they hold, and how long one may stay without making
-//! progress.
+//! Client connections of both listeners: the memory that they hold, and how long they may stay open
+//! without progress.
 
 mod eviction;
 mod fastcgi;
@@ -15,23 +15,24 @@
 use edge_routing::Micros;
 use eviction::EvictionClass;
 
-/// What the event loop keeps for one client connection.
+/// Activity and memory use of one client connection.
 pub(super) struct ClientActivity {
-    /// When an answer was last awaited or on its way out, or when the connection's present class
-    /// began.
-    pub(super) since: Micros,
-    /// A request was partially received when the connection was last looked at.
+    /// Start of the connection's current inactivity timeout, in microseconds. The timeout restarts
+    /// whenever the connection is found busy, when a request begins to arrive, and when a lingering
+    /// close begins.
+    pub(super) timeout_start: Micros,
+    /// Whether a request was partially received at the last update.
     has_partial_request: bool,
-    /// This connection's share of `ClientAccounting::unsent_answer_bytes`.
+    /// Share of this connection in `ClientAccounting::unsent_answer_bytes`.
     unsent_answer_bytes: usize,
-    /// This connection's share of `ClientAccounting::partial_request_bytes`.
+    /// Share of this connection in `ClientAccounting::partial_request_bytes`.
     partial_request_bytes: usize,
 }
 
 impl ClientActivity {
-    pub(super) fn since(now: Micros) -> Self {
+    pub(super) fn new(now: Micros) -> Self {
         ClientActivity {
-            since: now,
+            timeout_start: now,
             has_partial_request: false,
             unsent_answer_bytes: 0,
             partial_request_bytes: 0,
@@ -39,12 +40,12 @@
     }
 }
 
-/// Sums over all client connections, which are bounded by the limits.
+/// Totals over all client connections. The limits bound each of them.
 #[derive(Default)]
 pub(super) struct ClientAccounting {
-    /// Client connections, the lingering ones included.
+    /// Number of client connections, including those in a lingering close.
     pub(super) connections: usize,
-    /// Bytes of answers that slow clients have not taken yet.
+    /// Bytes of answers that slow clients have not received yet.
     unsent_answer_bytes: usize,
     /// Bytes of partially received requests.
     partial_request_bytes: usize,
@@ -61,7 +62,7 @@
         self.partial_request_bytes = self.partial_request_bytes + bytes - before;
     }
 
-    /// Takes a connection out of the sums when it is given up.
+    /// Subtracts a connection from the byte totals when it is closed.
     pub(super) fn release(&mut self, activity: &mut ClientActivity) {
         self.set_unsent_answer_bytes(activity, 0);
         self.set_partial_request_bytes(activity, 0);
@@ -69,13 +70,14 @@
 }
 
 impl EventLoop {
-    /// How long the input of a connection may have waited to be read, if that is long enough to
-    /// count.
+    /// Returns the longest time, in microseconds, for which the input of a connection may have
+    /// waited to be read. Returns 0 if the time is within `Limits::unread_tolerance_us`.
     pub(super) fn unread_us(&self, now: Micros, key: SlabKey) -> Micros {
         let connection = self.connections.get(key);
         let unread_since = connection.and_then(|connection| connection.unread_since);
-        let since = unread_since.map_or(self.ready_since, |at| at.min(self.ready_since));
-        let unread_us = now.saturating_sub(since);
+        let readable_since =
+            unread_since.map_or(self.earliest_ready_at, |at| at.min(self.earliest_ready_at));
+        let unread_us = now.saturating_sub(readable_since);
         if unread_us > self.limits.unread_tolerance_us {
             unread_us
         } else {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Records what a client connection does, after something was read or written on it.
+    /// Updates the activity of a client connection after a read or a write.
     pub(super) fn update_client_activity(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -96,22 +98,26 @@
             &mut connection.activity.has_partial_request,
             has_partial_request,
         );
-        // A request that arrives a few bytes at a time still began with its first byte.
+        // The timeout of a partially received request counts from its first byte, even if the
+        // request arrives a few bytes at a time.
         let partial_request_begins = has_partial_request && !had_partial_request;
         if class == EvictionClass::Busy || partial_request_begins {
-            connection.activity.since = now;
+            connection.activity.timeout_start = now;
         }
-        // Hundreds of clients may send one request and keep their connections: the buffers that
-        // each has grown must not add up.
+        // Hundreds of clients may send one request each and keep their connections open. The memory
+        // of their buffers must not add up.
         if class == EvictionClass::Idle {
             connection.transport.input.release_memory();
             connection.transport.output.release_memory();
         }
     }
 
-    /// Accounts for what a FastCGI connection holds of partially received requests. Where all
-    /// connections together hold too much, the one that holds the most is ended, or loses its
-    /// partially received requests if it is owed answers: what others hold is not its doing.
+    /// Updates the bytes that a FastCGI connection holds of partially received requests, and
+    /// enforces the limit on the total of all connections.
+    ///
+    /// While the total exceeds the limit, the connection that holds the most bytes is closed. If
+    /// that connection still awaits answers, only its partially received requests are rejected,
+    /// because the connection should not lose its answers over what others hold.
     pub(super) fn enforce_partial_request_limit(&mut self, now: Micros, key: SlabKey) {
         let Some(Connection {
             role: ConnectionRole::FastCgiClient(session),
@@ -124,22 +130,28 @@
         self.clients
             .set_partial_request_bytes(activity, session.partial_request_bytes());
         while self.clients.partial_request_bytes > self.limits.partial_request_bytes {
-            let held = |key: &SlabKey| {
+            let held_bytes = |key: &SlabKey| {
                 let connection = self.connections.get(*key)?;
                 Some(connection.activity.partial_request_bytes)
             };
-            let Some(largest) = self.connections.keys().into_iter().max_by_key(held) else {
+            let Some(largest) = self.connections.keys().into_iter().max_by_key(held_bytes) else {
                 return;
             };
-            log::info!("a connection holds the most of too many partially received requests");
+            log::info!(
+                "partially received requests hold {} bytes, over the limit of {}: dropping those \
+                 of connection {:x}, which holds the most",
+                self.clients.partial_request_bytes,
+                self.limits.partial_request_bytes,
+                largest.to_u64()
+            );
             if !self.reject_partial_requests(now, largest) {
-                self.close_gracefully(now, largest, CloseReason::PartialRequests);
+                self.close_gracefully(now, largest, CloseReason::PartialRequestLimit);
             }
         }
     }
 
-    /// Rejects the partially received requests of a FastCGI connection that is owed answers to
-    /// others. False: it is owed none.
+    /// Rejects the partially received requests of a FastCGI connection that awaits answers to other
+    /// requests. Returns false, without rejecting any, if the connection awaits no answer.
     fn reject_partial_requests(&mut self, now: Micros, key: SlabKey) -> bool {
         let Some(Connection {
             role: ConnectionRole::FastCgiClient(session),
@@ -155,21 +167,21 @@
         session.reject_partial_requests();
         self.clients
             .set_partial_request_bytes(activity, session.partial_request_bytes());
-        // A connection that can't be written shows as broken by itself.
+        // The poller reports a connection that cannot be written as broken.
         let _ = self.write(now, key);
         true
     }
 
-    /// Ends a client connection that holds its place for nothing. Ordinary clients end theirs
-    /// sooner, so that none of their requests can cross this.
+    /// Closes a client connection that is past its inactivity deadline. Ordinary clients close
+    /// their idle connections earlier, so that this close does not cross one of their requests.
     pub(super) fn check_client(&mut self, now: Micros, key: SlabKey) {
         let has_expired = |deadline: Option<Micros>| deadline.is_some_and(|at| at <= now);
         let deadline = self
             .connections
             .get(key)
-            .and_then(|connection| connection.idle_deadline(&self.limits));
+            .and_then(|connection| connection.inactivity_deadline(&self.limits));
         if has_expired(deadline) {
-            // What it has sent by now still counts.
+            // Input that has arrived by now can still extend the deadline.
             self.read_pending_input(now, key);
         }
         let Some(connection) = self.connections.get(key) else {
@@ -178,9 +190,9 @@
         let Some(class) = connection.eviction_class() else {
             return;
         };
-        let deadline = connection.idle_deadline(&self.limits);
+        let deadline = connection.inactivity_deadline(&self.limits);
         if connection.unread_since.is_some() {
-            // It could not be read just now, and may hold a request.
+            // The connection could not be read at this moment and may have received a request.
             let retry_at = now + self.limits.local_retry_us;
             self.timers.set(retry_at, TimerEvent::CheckClient(key));
         } else if !has_expired(deadline) {
@@ -188,9 +200,8 @@
             let next_check = deadline.map_or(next_sweep, |at| at.min(next_sweep));
             self.timers.set(next_check, TimerEvent::CheckClient(key));
         } else if matches!(class, EvictionClass::Busy | EvictionClass::Lingering) {
-            // It takes neither its answer nor the end of the connection, and is waited for no
-            // longer.
-            self.close(now, key, CloseReason::NotRead);
+            // The client has neither read its answer nor closed its half in time.
+            self.close(now, key, CloseReason::ClientStalled);
         } else {
             self.close_gracefully(now, key, CloseReason::Idle);
         }
--- a/crates/proxy/src/event_loop/close_reason.rs
+++ b/crates/proxy/src/event_loop/close_reason.rs
@@ -1,61 +1,63 @@
-//! Why a connection is closed.
+//! Reasons for closing a connection.
 
 use std::fmt;
 
-/// Why a connection is closed, for the log, and for the check that no answer is owed on it.
+/// Reason for closing a connection. It is logged, and it decides whether a client connection may be
+/// closed with unanswered requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The peer ended its half of the connection.
+    /// The peer has closed its half of the connection.
     PeerClosed,
-    /// The connection broke.
+    /// The connection is broken.
     Broken,
-    /// The peer sent what can't be read.
+    /// The peer has violated the protocol.
     ProtocolError,
-    /// A connection that was opened from here could not be established.
+    /// An outgoing connection could not be established.
     ConnectFailed,
-    /// It could not be established for want of something on this machine.
+    /// An outgoing connection could not be established because this machine lacked a resource.
     LocalFailure,
-    /// It was not established in time.
+    /// An outgoing connection was not established within the connect timeout.
     ConnectTimeout,
-    /// Everything is answered, and the client asked for the connection to end then.
+    /// All requests on the connection are answered, and the connection is not kept alive.
     Finished,
-    /// Everything is answered, and the proxy is shutting down.
+    /// All requests on the connection are answered, and the proxy is shutting down.
     ShuttingDown,
-    /// A client's connection has been without a complete request for too long.
+    /// A client has not sent a complete request for too long.
     Idle,
-    /// A client does not take its answers, or not the end of the connection.
-    NotRead,
-    /// Another client needs the place.
-    MakesRoom,
-    /// It holds the most of too many partially received requests.
-    PartialRequests,
-    /// A cache server's connection is of no further use: broken, stalled, or ended in the middle of
-    /// an answer.
+    /// A client does not read its answers, or has not closed its half during a lingering close.
+    ClientStalled,
+    /// A client connection is evicted to accept another client.
+    Evicted,
+    /// A client connection holds the most bytes of partially received requests, of which all
+    /// client connections together hold too many.
+    PartialRequestLimit,
+    /// A connection to a cache server is broken, stalled, or ended in the middle of an answer.
     UpstreamUnusable,
-    /// A cache server drains or is gone, and owes nothing on this connection.
+    /// A cache server is draining or no longer in the endpoint list, and no answer is pending on
+    /// this connection.
     ServerDrained,
-    /// A cache server's connection went unresponsive, and another one takes its place.
-    Unresponsive,
-    /// The event bus has moved to another address.
-    Moved,
-    /// The event bus is silent.
-    Silent,
+    /// A connection to a cache server is unresponsive and is replaced by another one.
+    UpstreamUnresponsive,
+    /// The configured address of the event bus has changed.
+    EventBusAddressChanged,
+    /// The event bus has sent nothing for too long.
+    EventBusSilent,
     /// Another connection to the event bus was answered first.
-    Superseded,
-    /// The response that the connection was opened for has not come in time.
+    EventBusSuperseded,
+    /// The response for which the connection was opened has not arrived in time.
     ResponseTimeout,
 }
 
 impl CloseReason {
-    /// Whether the peer of the connection has ended it or made it useless by itself: then nothing
-    /// is owed to it any more.
-    pub(super) fn is_of_peers_making(self) -> bool {
+    /// Returns whether the peer has closed the connection or made it unusable. Such a peer need not
+    /// get answers to its open requests.
+    pub(super) fn is_caused_by_peer(self) -> bool {
         matches!(
             self,
             CloseReason::PeerClosed
                 | CloseReason::Broken
                 | CloseReason::ProtocolError
-                | CloseReason::NotRead
+                | CloseReason::ClientStalled
         )
     }
 }
@@ -63,25 +65,25 @@
 impl fmt::Display for CloseReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            CloseReason::PeerClosed => "the peer has closed it",
-            CloseReason::Broken => "it is broken",
-            CloseReason::ProtocolError => "the peer sent what can't be read",
-            CloseReason::ConnectFailed => "it could not be established",
-            CloseReason::LocalFailure => "it failed on this machine",
-            CloseReason::ConnectTimeout => "it was not established in time",
-            CloseReason::Finished => "all is answered and the client wants it closed",
-            CloseReason::ShuttingDown => "all is answered and the proxy is shutting down",
-            CloseReason::Idle => "it was idle for too long",
-            CloseReason::NotRead => "its client does not read",
-            CloseReason::MakesRoom => "it makes room for another client",
-            CloseReason::PartialRequests => "it holds most of too many partial requests",
-            CloseReason::UpstreamUnusable => "it is of no further use",
-            CloseReason::ServerDrained => "its server drains or is gone",
-            CloseReason::Unresponsive => "it is unresponsive",
-            CloseReason::Moved => "the event bus has moved",
-            CloseReason::Silent => "the event bus is silent",
-            CloseReason::Superseded => "another connection was answered first",
-            CloseReason::ResponseTimeout => "no response came in time",
+            CloseReason::PeerClosed => "the peer closed its half of the connection",
+            CloseReason::Broken => "the connection is broken",
+            CloseReason::ProtocolError => "the peer violated the protocol",
+            CloseReason::ConnectFailed => "the connection could not be established",
+            CloseReason::LocalFailure => "this machine lacked a resource for the connection",
+            CloseReason::ConnectTimeout => "connect timeout",
+            CloseReason::Finished => "all requests are answered and keep-alive is off",
+            CloseReason::ShuttingDown => "all requests are answered and the proxy is shutting down",
+            CloseReason::Idle => "the client sent no complete request in time",
+            CloseReason::ClientStalled => "the client did not read its answers in time",
+            CloseReason::Evicted => "evicted to accept another client",
+            CloseReason::PartialRequestLimit => "partially received requests exceed their limit",
+            CloseReason::UpstreamUnusable => "the cache server connection is broken or stalled",
+            CloseReason::ServerDrained => "the cache server is draining or was removed",
+            CloseReason::UpstreamUnresponsive => "the cache server is unresponsive",
+            CloseReason::EventBusAddressChanged => "the address of the event bus has changed",
+            CloseReason::EventBusSilent => "the event bus has sent nothing for too long",
+            CloseReason::EventBusSuperseded => "the event bus answered on another connection first",
+            CloseReason::ResponseTimeout => "response timeout",
         })
     }
 }
--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -1,4 +1,4 @@
-//! The connection table: what each connection is for, and how connections are opened and closed.
+//! The connection table: the role of each connection, and how connections are opened and closed.
 
 use super::clients::ClientActivity;
 use super::close_reason::CloseReason;
@@ -16,36 +16,36 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What a connection is for, with the state of its protocol.
+/// Role of a connection, with the state of its protocol.
 pub(super) enum ConnectionRole {
-    /// A web server that sends requests by FastCGI.
+    /// Connection from a web server that sends requests over FastCGI.
     FastCgiClient(fastcgi::Session),
-    /// A peer CDN, or a client that one redirected here.
+    /// Connection from a peer CDN, or from a client that a peer CDN redirected here.
     InterconnectClient(Box<interconnect::Session>),
-    /// A client connection whose writing side is shut down. It is read until the client ends it
-    /// too.
+    /// Client connection in a lingering close. Its writing half is shut down, and its input is read
+    /// and discarded until the client closes its half too.
     Lingering {
-        /// Bytes read and thrown away so far.
+        /// Number of bytes read and discarded so far.
         discarded_bytes: usize,
     },
-    /// To a cache server.
+    /// Connection to a cache server.
     Upstream(UpstreamConnection),
-    /// To the event bus.
+    /// Connection to the event bus.
     EventBus(EventStreamClient),
-    /// To Consul, for one query.
+    /// Connection to Consul for a single query.
     Consul(ConsulQuery),
-    /// To a peer CDN, for one notification.
+    /// Connection to a peer CDN for a single notification.
     Notification(Box<NotificationDelivery>),
 }
 
 impl ConnectionRole {
-    /// Whether the connection was accepted from a client.
+    /// Returns whether the connection was accepted from a client.
     pub(super) fn is_client(&self) -> bool {
         let is_lingering = matches!(self, ConnectionRole::Lingering { .. });
         is_lingering || self.client_session().is_some()
     }
 
-    /// What the connection is called in the log.
+    /// Returns the name of the role for log lines.
     fn name(&self) -> &'static str {
         match self {
             ConnectionRole::FastCgiClient(_) => "client connection",
@@ -58,7 +58,8 @@
         }
     }
 
-    /// The session of a client that may still be sent something.
+    /// Returns the session of a client to which output can still be sent, or `None` for a lingering
+    /// or an outgoing connection.
     pub(super) fn client_session(&self) -> Option<&dyn ClientSession> {
         match self {
             ConnectionRole::FastCgiClient(session) => Some(session),
@@ -68,23 +69,23 @@
     }
 }
 
-/// Why a connection could not be opened.
+/// Error that prevents a connection from being opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     /// The connection table is full.
     #[error("the connection table is full")]
     TableFull,
-    /// The server has as many connections as it may.
-    #[error("the server has as many connections as it may")]
+    /// The cache server has the maximum number of connections.
+    #[error("the cache server has the maximum number of connections")]
     ServerFull,
-    /// The server is not in the endpoint list any more.
-    #[error("the server is gone")]
+    /// The cache server is no longer in the endpoint list.
+    #[error("the cache server is no longer in the endpoint list")]
     ServerGone,
-    /// This machine has no descriptor, memory, port or route for it now. It tells nothing of the
-    /// peer.
-    #[error("failed on this machine: {0}")]
+    /// This machine temporarily lacks a file descriptor, memory, a port or a route. The error does
+    /// not indicate a fault of the peer.
+    #[error("this machine lacks a resource for the connection: {0}")]
     Local(io::Error),
-    /// The peer can't be reached.
+    /// The peer cannot be reached.
     #[error(transparent)]
     Peer(io::Error),
 }
@@ -103,18 +104,19 @@
 pub(super) struct Connection {
     pub(super) transport: BufferedSocket,
     pub(super) role: ConnectionRole,
-    /// Of a client connection: since when it does what it does, and what it holds.
+    /// Activity and memory use of a client connection. Unused for other connections.
     pub(super) activity: ClientActivity,
-    /// It could not be read, or the poller not be told what to watch it for; both will be tried
-    /// again.
+    /// Whether a retry is scheduled, because reading the connection or registering its interest
+    /// with the poller failed.
     retry_scheduled: bool,
-    /// There may be input since then that could not be read: the connection was not accepted or not
-    /// watched, or reading failed for the moment.
+    /// Time since which unread input may be waiting, in microseconds. Set while the connection
+    /// could not be accepted, watched or read for a temporary reason.
     pub(super) unread_since: Option<Micros>,
 }
 
 impl Slab<Connection> {
-    /// The transport and the protocol state of a connection to a cache server.
+    /// Returns the transport and the protocol state of a connection to a cache server, or `None` if
+    /// the key has no such connection.
     pub(super) fn upstream(&self, key: SlabKey) -> Option<(&BufferedSocket, &UpstreamConnection)> {
         let connection = self.get(key)?;
         match &connection.role {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// As `upstream`, to change them.
+    /// Returns the same as `upstream`, mutably.
     pub(super) fn upstream_mut(
         &mut self,
         key: SlabKey,
@@ -135,7 +137,8 @@
         }
     }
 
-    /// The transport and the session of a FastCGI client.
+    /// Returns the transport and the session of a FastCGI client, or `None` if the key has no such
+    /// connection.
     pub(super) fn fastcgi_client_mut(
         &mut self,
         key: SlabKey,
@@ -147,7 +150,8 @@
         }
     }
 
-    /// The transport and the session of an interconnect client.
+    /// Returns the transport and the session of an interconnect client, or `None` if the key has no
+    /// such connection.
     pub(super) fn interconnect_client_mut(
         &mut self,
         key: SlabKey,
@@ -163,7 +167,11 @@
 }
 
 impl EventLoop {
-    /// Adds a connection to the table and has the poller watch it.
+    /// Adds a connection to the table and registers it with the poller.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ConnectError::TableFull`] if the table has no free slot.
     pub(super) fn open_connection(
         &mut self,
         now: Micros,
@@ -173,7 +181,7 @@
         let connection = Connection {
             transport,
             role,
-            activity: ClientActivity::since(now),
+            activity: ClientActivity::new(now),
             retry_scheduled: false,
             unread_since: None,
         };
@@ -183,8 +191,9 @@
         Ok(key)
     }
 
-    /// Whether the table has a free slot besides the one kept for the event bus, whose connection
-    /// may be down just then: without it the proxy would hear of no drain and no purge.
+    /// Returns whether the table has a free slot for a connection other than the one to the event
+    /// bus. While that connection is down, one slot is reserved for it, because without it the
+    /// proxy would learn of no drain and no purge.
     pub(super) fn has_free_connection_slot(&self) -> bool {
         let event_bus_is_down =
             self.reload.config.event_bus.is_some() && self.event_bus.connection.is_none();
@@ -192,7 +201,12 @@
         self.connections.free_slots() > reserved
     }
 
-    /// Begins an outgoing connection. It must be established before its timer comes due.
+    /// Opens an outgoing connection without waiting until it is established, and sets the timer for
+    /// its connect timeout.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection cannot be opened or the table is full.
     pub(super) fn connect_to(
         &mut self,
         now: Micros,
@@ -208,7 +222,7 @@
             )
         });
         let transport = connected.map_err(|e| {
-            log::warn!("no connection to {address}: {e}");
+            log::warn!("cannot connect to {address}: {e}");
             ConnectError::from(e)
         })?;
         let key = self.open_connection(now, transport, role)?;
@@ -219,8 +233,9 @@
         Ok(key)
     }
 
-    /// Closes an outgoing connection that was not established in time.
-    pub(super) fn close_unless_connected(&mut self, now: Micros, key: SlabKey) {
+    /// Closes an outgoing connection that was not established within the connect timeout. A
+    /// connection to the event bus is kept open instead, beside a new one.
+    pub(super) fn handle_connect_timeout(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
@@ -228,15 +243,16 @@
             return;
         }
         match connection.role {
-            ConnectionRole::EventBus(_) => self.event_bus_connects_late(now, key),
-            // It may well be established: nobody could see it.
+            ConnectionRole::EventBus(_) => self.handle_event_bus_connect_timeout(now, key),
+            // The connection may have been established without being noticed, because reading or
+            // watching it failed on this machine.
             _ if connection.retry_scheduled => self.close(now, key, CloseReason::LocalFailure),
             _ => self.close(now, key, CloseReason::ConnectTimeout),
         }
     }
 
-    /// Closes a connection to Consul or to a peer CDN whose response has not come in time.
-    pub(super) fn close_unanswered(&mut self, now: Micros, key: SlabKey) {
+    /// Closes a connection to Consul or to a peer CDN whose response has not arrived in time.
+    pub(super) fn handle_response_timeout(&mut self, now: Micros, key: SlabKey) {
         let awaits_response = self.connections.get(key).is_some_and(|connection| {
             matches!(
                 connection.role,
@@ -254,8 +270,8 @@
             .is_some_and(|connection| connection.role.is_client())
     }
 
-    /// Updates what the poller watches a connection for. Where that fails, it is tried again in a
-    /// moment: a connection that nobody watches would never be read or written again.
+    /// Updates the events for which the poller watches a connection. A failed update is retried
+    /// after a short wait, because an unwatched connection would never be read or written again.
     pub(super) fn update_poll_interest(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -263,13 +279,17 @@
         let Err(e) = connection.transport.watch(&self.poller, key.to_u64()) else {
             return;
         };
-        log::debug!("a connection can't be watched yet: {e}");
-        self.retry_connection_later(now, key);
+        log::debug!(
+            "cannot watch connection {:x}, retrying in {} ms: {e}",
+            key.to_u64(),
+            self.limits.local_retry_us / 1_000
+        );
+        self.schedule_connection_retry(now, key);
     }
 
-    /// A connection could not be read or watched just now. There may be input that nobody knows of,
-    /// so that it is not taken for idle until it could be.
-    pub(super) fn retry_connection_later(&mut self, now: Micros, key: SlabKey) {
+    /// Schedules a retry for a connection that could not be read or watched. The connection may
+    /// have unread input, so it is not treated as idle until it is read.
+    pub(super) fn schedule_connection_retry(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -280,8 +300,9 @@
         }
     }
 
-    /// Tells the poller once more what to watch a connection for, and reads what came meanwhile:
-    /// nothing is reported where nothing did, and a shutdown would wait for the connection.
+    /// Registers the interest of a connection with the poller again, and reads what has arrived
+    /// meanwhile. The read is necessary because the poller reports nothing for a connection without
+    /// new input, and a shutdown would wait for the connection.
     pub(super) fn retry_connection(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -291,12 +312,12 @@
         self.read_pending_input(now, key);
     }
 
-    /// Ends a connection from this side. A client connection lingers: closing it over bytes that
-    /// are unread, or that cross the close, would reset it, and output that was written before
-    /// would be lost on its way.
+    /// Closes a connection from this side. A client connection gets a lingering close, because
+    /// closing it while bytes are unread or still arriving would reset the connection, and output
+    /// that the client has not yet received would be lost.
     pub(super) fn close_gracefully(&mut self, now: Micros, key: SlabKey, reason: CloseReason) {
-        // Answers that are ready are still owed; a client that does not take them is not waited
-        // for.
+        // Answers that are ready are still written. The proxy does not wait for a client that does
+        // not read them.
         self.write_fastcgi_client(key);
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -309,11 +330,11 @@
         }
         connection.transport.input.clear();
         self.clients.release(&mut connection.activity);
-        connection.activity.since = now;
+        connection.activity.timeout_start = now;
         let lingering = ConnectionRole::Lingering { discarded_bytes: 0 };
         let role = std::mem::replace(&mut connection.role, lingering);
         self.log_close(key, &role, reason);
-        self.abandon_requests(now, &role);
+        self.report_client_disconnected(now, &role);
         self.timers.set(
             now + self.limits.lingering_close_us,
             TimerEvent::CheckClient(key),
@@ -340,25 +361,27 @@
             | ConnectionRole::Lingering { .. } => {
                 self.clients.connections -= 1;
                 self.clients.release(&mut activity);
-                self.abandon_requests(now, &role);
+                self.report_client_disconnected(now, &role);
             }
             ConnectionRole::Upstream(upstream) => {
-                self.upstream_closed(now, key, &transport, upstream, reason)
+                self.handle_upstream_closed(now, key, &transport, upstream, reason)
+            }
+            ConnectionRole::Notification(delivery) => {
+                self.handle_notification_attempt_end(now, delivery)
             }
-            ConnectionRole::Notification(delivery) => self.notification_attempted(now, delivery),
             ConnectionRole::Consul(_) => self.handle_consul_response(now, None),
-            ConnectionRole::EventBus(_) => self.event_bus_closed(now, key),
+            ConnectionRole::EventBus(_) => self.handle_event_bus_closed(now, key),
         }
     }
 
-    /// Logs why a connection is closed, and checks that no answer is owed on it unless its own
-    /// client has ended it.
+    /// Logs why a connection is closed. Checks that all requests on a client connection are
+    /// answered, unless the client itself has caused the close.
     fn log_close(&self, key: SlabKey, role: &ConnectionRole, reason: CloseReason) {
-        log::debug!("{} {:x} is closed: {reason}", role.name(), key.to_u64());
+        log::debug!("closing {} {:x}: {reason}", role.name(), key.to_u64());
         let Some(session) = role.client_session() else {
             return;
         };
-        let is_answered = session.unanswered() == 0 || reason.is_of_peers_making();
+        let is_answered = session.unanswered() == 0 || reason.is_caused_by_peer();
         self.request_table.invariants.check(
             Invariant::CloseOnlyIfAnswered,
             is_answered,
@@ -366,7 +389,7 @@
         );
     }
 
-    /// The ids of the requests that a client waits for.
+    /// Returns the ids of the requests for which a client awaits answers, separated by commas.
     fn request_ids(&self, session: &dyn ClientSession) -> String {
         let keys = session.request_keys();
         let ids = keys
@@ -375,8 +398,8 @@
         ids.collect::<Vec<_>>().join(", ")
     }
 
-    /// Tells the request table that the client of a connection waits for no answer any more.
-    fn abandon_requests(&mut self, now: Micros, role: &ConnectionRole) {
+    /// Notifies the request table that the client of a connection no longer waits for any answer.
+    fn report_client_disconnected(&mut self, now: Micros, role: &ConnectionRole) {
         let Some(session) = role.client_session() else {
             return;
         };
--- a/crates/proxy/src/event_loop/consul.rs
+++ b/crates/proxy/src/event_loop/consul.rs
@@ -1,5 +1,5 @@
-//! Consul as the source of the endpoint list: one query after the other, each on a connection of
-//! its own.
+//! Consul as the source of the endpoint list. Queries are sent one after the other, each on a new
+//! connection.
 
 use super::connections::{Connection, ConnectionRole};
 use super::timer::TimerEvent;
@@ -13,10 +13,10 @@
 use edge_routing::{EndpointListMode, Micros};
 use std::net::SocketAddr;
 
-/// How long Consul may hold a blocking query back until something changes.
+/// How long Consul may delay its response to a blocking query while nothing changes, in seconds.
 const BLOCKING_QUERY_WAIT_S: u64 = 10;
 
-/// Polls Consul by blocking queries.
+/// Polls Consul with blocking queries.
 pub(super) struct ConsulPoller {
     pub(super) address: SocketAddr,
     pub(super) consul: Consul,
@@ -38,7 +38,7 @@
 }
 
 impl EventLoop {
-    /// Begins the next query, if Consul is configured.
+    /// Sends the next query, if Consul is configured.
     pub(super) fn query_consul(&mut self, now: Micros) {
         let Some(poller) = &self.consul else {
             return;
@@ -56,7 +56,11 @@
         }
     }
 
-    /// Handles what Consul has sent.
+    /// Handles the buffered input from Consul.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol.
     pub(super) fn read_consul(&mut self, now: Micros, key: SlabKey) -> Result<(), ProtocolError> {
         let Some(Connection {
             transport,
@@ -71,16 +75,16 @@
         let response = query.read(input)?;
         transport.input.consume(input_bytes);
         if response.is_some() {
-            // One query a connection. It is removed rather than closed, since closing counts as a
-            // failed query.
+            // Each connection carries one query. The connection is removed from the table without
+            // `close`, because `close` would count as a failed query.
             self.connections.remove(key);
             self.handle_consul_response(now, response);
         }
         Ok(())
     }
 
-    /// Takes in the response to the last query; none where it failed. The next query follows at
-    /// once, or after a pause where this one failed.
+    /// Handles the response to the last query, which is `None` if the query failed. Schedules the
+    /// next query, at once after a valid response and with a backoff after a failure.
     pub(super) fn handle_consul_response(&mut self, now: Micros, response: Option<Message>) {
         let Some(ConsulPoller {
             consul, backoff, ..
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -1,4 +1,4 @@
-//! The subscription to the event bus: the stream of purges and endpoint list updates.
+//! The subscription to the event bus, which streams purges and endpoint list updates.
 
 use super::close_reason::CloseReason;
 use super::connections::{Connection, ConnectionRole};
@@ -11,20 +11,21 @@
 use crate::protocol::ProtocolError;
 use edge_routing::Micros;
 
-/// The state of the subscription. The bus's address is part of the configuration, which SIGHUP may
-/// change.
+/// State of the subscription. The address of the event bus is part of the configuration, which can
+/// change on SIGHUP.
 ///
-/// A bus that is crowded may take seconds to accept a connection or to answer on it, and one that
-/// has vanished never does; nobody can tell which. So a connection that is late stays open for a
-/// while, and another one is tried beside it: whichever is answered first is used.
+/// An overloaded event bus may take seconds to accept a connection or to answer on it, and a
+/// vanished one never does. The proxy cannot distinguish the two cases. So it keeps a slow
+/// connection open for a while and tries another one beside it. It uses the connection on which the
+/// event bus answers first.
 pub(super) struct EventBusSubscription {
-    /// The connection in use, or the one that was opened last; none while there is none.
+    /// The connection in use, or the one that was opened last. `None` if there is no connection.
     pub(super) connection: Option<SlabKey>,
-    /// A connection that was opened before it, and is not answered yet.
-    late_connection: Option<SlabKey>,
-    /// When the next check is due: there is one at a time.
-    timer: Option<TimerKey>,
-    /// The last event taken in: the stream goes on after it when it is connected again.
+    /// A connection that was opened earlier than `connection` and has not been answered yet.
+    unanswered_connection: Option<SlabKey>,
+    /// Timer of the next check. At most one is set.
+    check_timer: Option<TimerKey>,
+    /// Id of the last received event. A new connection requests the events after it.
     pub(super) last_event_id: u64,
     backoff: Backoff,
 }
@@ -33,8 +34,8 @@
     pub(super) fn new(last_event_id: u64, limits: &Limits, seed: u64) -> Self {
         EventBusSubscription {
             connection: None,
-            late_connection: None,
-            timer: None,
+            unanswered_connection: None,
+            check_timer: None,
             last_event_id,
             backoff: Backoff::new(
                 limits.reconnect_delay_us,
@@ -46,7 +47,7 @@
 }
 
 impl EventLoop {
-    /// Connects to the event bus, if there is one.
+    /// Connects to the event bus, if one is configured.
     pub(super) fn connect_event_bus(&mut self, now: Micros) {
         let Some(address) = self.reload.config.event_bus else {
             return;
@@ -57,37 +58,37 @@
         if self.event_bus.connection.is_some() {
             self.schedule_event_bus_check(now + self.limits.event_bus_silence_us);
         } else {
-            self.reconnect_event_bus_later(now);
+            self.schedule_event_bus_reconnect(now);
         }
     }
 
-    /// The bus has moved to another address: events after the last one are requested there at
-    /// once.
-    pub(super) fn follow_moved_event_bus(&mut self, now: Micros) {
-        let late = self.event_bus.late_connection.take();
+    /// Reconnects at once after the address of the event bus has changed, and requests the events
+    /// after the last received one at the new address.
+    pub(super) fn reconnect_at_new_event_bus_address(&mut self, now: Micros) {
+        let unanswered = self.event_bus.unanswered_connection.take();
         let connection = self.event_bus.connection.take();
-        for old in [late, connection].into_iter().flatten() {
-            self.close(now, old, CloseReason::Moved);
+        for old in [unanswered, connection].into_iter().flatten() {
+            self.close(now, old, CloseReason::EventBusAddressChanged);
         }
         self.event_bus.backoff.succeeded();
         self.connect_event_bus(now);
     }
 
-    fn reconnect_event_bus_later(&mut self, now: Micros) {
+    fn schedule_event_bus_reconnect(&mut self, now: Micros) {
         let wait_us = self.event_bus.backoff.next_us();
         self.schedule_event_bus_check(now + wait_us);
     }
 
     fn schedule_event_bus_check(&mut self, at: Micros) {
         let timer = self.timers.set(at, TimerEvent::CheckEventBus);
-        if let Some(earlier) = self.event_bus.timer.replace(timer) {
+        if let Some(earlier) = self.event_bus.check_timer.replace(timer) {
             self.timers.cancel(earlier);
         }
     }
 
-    /// Reconnects where there is no connection, or where the bus has been silent for too long: it
-    /// may have vanished without closing its connection, and would be taken for one that has
-    /// nothing to say.
+    /// Reconnects if there is no connection, or if the event bus has been silent for too long. It
+    /// may have vanished without closing its connection, which otherwise looks the same as an event
+    /// bus without new events.
     pub(super) fn check_event_bus(&mut self, now: Micros) {
         let Some(key) = self.event_bus.connection else {
             return self.connect_event_bus(now);
@@ -95,56 +96,64 @@
         let Some(stream) = self.event_stream(key) else {
             return self.connect_event_bus(now);
         };
-        let silent_at = stream.last_read() + self.limits.event_bus_silence_us;
-        if now < silent_at {
-            return self.schedule_event_bus_check(silent_at);
+        let silence_timeout_at = stream.last_read() + self.limits.event_bus_silence_us;
+        if now < silence_timeout_at {
+            return self.schedule_event_bus_check(silence_timeout_at);
         }
         let has_answered = stream.has_answered();
-        log::warn!("the event bus is silent and connected to again");
+        log::warn!(
+            "event bus connection {:x} received nothing for {} ms, opening another one",
+            key.to_u64(),
+            self.limits.event_bus_silence_us / 1_000
+        );
         self.event_bus.connection = None;
         if has_answered {
-            self.close(now, key, CloseReason::Silent);
+            self.close(now, key, CloseReason::EventBusSilent);
         } else {
-            self.keep_late_connection(now, key);
+            self.keep_unanswered_connection(now, key);
         }
         self.connect_event_bus(now);
     }
 
-    /// A connection to the bus has not come up in time. It stays open if no other one does so.
-    pub(super) fn event_bus_connects_late(&mut self, now: Micros, key: SlabKey) {
+    /// Handles the connect timeout of a connection to the event bus. The connection is kept open
+    /// beside a new one, unless an earlier connection is kept that may still be answered in time.
+    pub(super) fn handle_event_bus_connect_timeout(&mut self, now: Micros, key: SlabKey) {
         if self.event_bus.connection == Some(key) {
             self.event_bus.connection = None;
-            self.keep_late_connection(now, key);
-            self.reconnect_event_bus_later(now);
+            self.keep_unanswered_connection(now, key);
+            self.schedule_event_bus_reconnect(now);
         }
     }
 
-    /// Keeps a connection that is not answered yet, unless an earlier one still has the time to be.
-    fn keep_late_connection(&mut self, now: Micros, key: SlabKey) {
-        let Some(earlier) = self.event_bus.late_connection else {
-            self.event_bus.late_connection = Some(key);
+    /// Keeps an unanswered connection open beside the connection in use. If an earlier unanswered
+    /// connection is already kept, closes the earlier one if it has been open for
+    /// `Limits::event_bus_patience_us`, and otherwise closes the new one.
+    fn keep_unanswered_connection(&mut self, now: Micros, key: SlabKey) {
+        let Some(earlier) = self.event_bus.unanswered_connection else {
+            self.event_bus.unanswered_connection = Some(key);
             return;
         };
         let opened_at = self.event_stream(earlier).map(EventStreamClient::last_read);
         let is_overdue = opened_at.is_none_or(|at| now >= at + self.limits.event_bus_patience_us);
-        let given_up = if is_overdue {
-            self.event_bus.late_connection = Some(key);
+        let to_close = if is_overdue {
+            self.event_bus.unanswered_connection = Some(key);
             earlier
         } else {
             key
         };
-        self.close(now, given_up, CloseReason::Silent);
+        self.close(now, to_close, CloseReason::EventBusSilent);
     }
 
-    /// Something has come on a connection to the bus: from here on it is the one in use.
-    fn use_event_bus_connection(&mut self, now: Micros, key: SlabKey) {
+    /// Handles that input has arrived on a connection to the event bus. From then on it is the
+    /// connection in use, and another one that is being tried is closed.
+    fn select_event_bus_connection(&mut self, now: Micros, key: SlabKey) {
         self.event_bus.backoff.succeeded();
-        if self.event_bus.late_connection != Some(key) {
+        if self.event_bus.unanswered_connection != Some(key) {
             return;
         }
-        self.event_bus.late_connection = None;
+        self.event_bus.unanswered_connection = None;
         if let Some(other) = self.event_bus.connection.replace(key) {
-            self.close(now, other, CloseReason::Superseded);
+            self.close(now, other, CloseReason::EventBusSuperseded);
         }
         self.schedule_event_bus_check(now + self.limits.event_bus_silence_us);
     }
@@ -156,17 +165,25 @@
         }
     }
 
-    /// A connection to the bus is gone. One that was given up for another, at a new address or
-    /// after silence, is not replaced.
-    pub(super) fn event_bus_closed(&mut self, now: Micros, key: SlabKey) {
-        self.event_bus.late_connection.take_if(|late| *late == key);
+    /// Handles that a connection to the event bus is closed. Schedules a reconnect if it was the
+    /// connection in use. A connection that was already replaced, after an address change or
+    /// silence, needs no further replacement.
+    pub(super) fn handle_event_bus_closed(&mut self, now: Micros, key: SlabKey) {
+        self.event_bus
+            .unanswered_connection
+            .take_if(|unanswered| *unanswered == key);
         if self.event_bus.connection == Some(key) {
             self.event_bus.connection = None;
-            self.reconnect_event_bus_later(now);
+            self.schedule_event_bus_reconnect(now);
         }
     }
 
-    /// Handles what the event stream brought. Events that came before an error still count.
+    /// Handles the buffered input from the event bus. Events that arrived before an error are still
+    /// applied.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol.
     pub(super) fn read_event_bus(
         &mut self,
         now: Micros,
@@ -192,7 +209,7 @@
             transport.input.consume(input_bytes);
         }
         if has_input && result.is_ok() {
-            self.use_event_bus_connection(now, key);
+            self.select_event_bus_connection(now, key);
         }
         for message in messages {
             self.handle_event_bus_message(now, message);
@@ -200,7 +217,7 @@
         result
     }
 
-    /// An event that has just happened. Peer CDNs are notified of purges too.
+    /// Handles a live event. Peer CDNs are notified of purges as well.
     fn handle_event_bus_message(&mut self, now: Micros, message: EventBusMessage) {
         if let Some(DiscoveryEvent::Purge { object, group, .. }) = &message.event {
             self.forward_purge(now, object.as_deref(), *group);
@@ -208,10 +225,11 @@
         self.apply_event_bus_message(now, message);
     }
 
-    /// Applies an event, live or replayed at the start.
+    /// Applies an event that is either live or replayed at startup.
     pub(super) fn apply_event_bus_message(&mut self, now: Micros, message: EventBusMessage) {
         match message.event {
-            // The endpoint list has one source: two would each take the other's servers for gone.
+            // The endpoint list must have a single source. With two sources, each list would remove
+            // the servers of the other.
             Some(DiscoveryEvent::List(..)) if self.consul.is_some() => {}
             Some(DiscoveryEvent::List(mode, servers)) => {
                 self.request_table.update_endpoints(now, mode, servers);
@@ -220,7 +238,7 @@
                 self.request_table.purged(now, object, group, at);
             }
             None => log::debug!(
-                "event {} of the event bus is of an unknown kind",
+                "ignoring event {} of the event bus, which has an unknown type",
                 message.offset
             ),
         }
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -1,5 +1,5 @@
-//! Interconnect clients: requests of peer CDNs and of the clients that they redirect, and what
-//! follows from them.
+//! Interconnect clients: requests of peer CDNs and of the clients that they redirect, and the
+//! purges and notifications that result from them.
 
 use super::close_reason::CloseReason;
 use super::timer::TimerEvent;
@@ -15,20 +15,22 @@
 use crate::request_table::{Answer, ClientRequest, ResponseTarget};
 use edge_routing::Micros;
 
-/// The stream number of interconnect requests: a connection has one open at a time.
-const ONLY_STREAM: u32 = 0;
+/// Stream number of every interconnect request. One number is enough because each connection has at
+/// most one open request.
+const SINGLE_STREAM: u32 = 0;
 
-/// The interconnection with peer CDNs.
+/// State of the interconnection with peer CDNs.
 pub(super) struct Interconnect {
     pub(super) frontend: InterconnectFrontend,
-    /// Where purges are kept for the next start; none: they last as long as the process.
+    /// File that stores purges across restarts, or `None` if purges last only as long as the
+    /// process.
     pub(super) purge_log: Option<PurgeLog>,
-    /// Purges that could not be written are written again.
+    /// Whether a retry of writing the purge log is scheduled.
     pub(super) purge_log_retry_scheduled: bool,
-    /// Notifications being delivered or waiting for a retry.
+    /// Number of notifications that are being delivered or wait for a retry.
     pub(super) notifications_in_flight: usize,
-    /// The readiness that peer CDNs were last notified of.
-    pub(super) announced_ready: bool,
+    /// Readiness of which peer CDNs were last notified.
+    pub(super) advertised_ready: bool,
 }
 
 impl Interconnect {
@@ -38,14 +40,17 @@
             purge_log,
             purge_log_retry_scheduled: false,
             notifications_in_flight: 0,
-            announced_ready: false,
+            advertised_ready: false,
         }
     }
 }
 
 impl EventLoop {
-    /// Handles the requests that an interconnect connection has received, as far as their turn has
-    /// come.
+    /// Handles the requests in the input buffer of an interconnect connection. Stops at a request
+    /// that has to wait for the answer to the previous one.
+    ///
+    /// Input that violates the protocol is rejected with a response and is not returned as an
+    /// error.
     pub(super) fn read_interconnect_client(
         &mut self,
         now: Micros,
@@ -59,9 +64,12 @@
                 Ok(Some(message)) => message,
                 Ok(None) => return Ok(()),
                 Err(e) => {
-                    // Answered by a status before the connection ends, so that the sender learns
-                    // what it did.
-                    log::warn!("a peer CDN sent what can't be read: {e}");
+                    // The client gets a status before the connection is closed, so that it learns
+                    // of its mistake.
+                    log::warn!(
+                        "rejecting invalid input on interconnect connection {:x}: {e}",
+                        key.to_u64()
+                    );
                     session.reject_input();
                     return Ok(());
                 }
@@ -74,7 +82,7 @@
         }
     }
 
-    /// Answers a request, or hands it to the request table.
+    /// Answers a request, or passes it to the request table.
     fn handle_interconnect_request(&mut self, now: Micros, key: SlabKey, message: &Message) {
         let is_ready = self.is_ready();
         let Some(interconnect) = &mut self.interconnect else {
@@ -84,14 +92,15 @@
         let handled = interconnect
             .frontend
             .handle(now, is_ready, purge_capacity, message);
-        // What a peer CDN is told to be taken on has to last: the effects come before the reply.
-        let mut all_kept = true;
+        // The effects are applied before the reply, because a peer CDN may be sent an acceptance
+        // only for what will survive a restart.
+        let mut all_durable = true;
         for effect in handled.effects {
-            all_kept &= self.apply_effect(now, effect);
+            all_durable &= self.apply_effect(now, effect);
         }
         match handled.reply {
             InterconnectReply::Now(response) => {
-                let response = if all_kept {
+                let response = if all_durable {
                     response
                 } else {
                     Response::bare(503)
@@ -111,7 +120,7 @@
         session.deadline = now + request.remaining_us;
         let target = ResponseTarget {
             connection: key,
-            stream: ONLY_STREAM,
+            stream: SINGLE_STREAM,
         };
         let request_key = if self.shutdown.is_grace_over() {
             None
@@ -131,8 +140,8 @@
         }
     }
 
-    /// Carries out what a request asks for besides its response. False: it would not outlast the
-    /// process yet.
+    /// Applies an effect of a request besides its response. Returns whether the effect will survive
+    /// a restart of the proxy, as far as it has to.
     fn apply_effect(&mut self, now: Micros, effect: Effect) -> bool {
         match effect {
             Effect::Purge(object, group) => {
@@ -142,7 +151,7 @@
                     purged_at: now,
                 };
                 if let Some(datagram) = gossip::encode(&purge) {
-                    self.gossip_purge(now, datagram, purge_gossip::REPEATS);
+                    self.send_purge_gossip(now, datagram, purge_gossip::GOSSIP_REPEATS);
                 }
                 self.purge_permanently(now, purge)
             }
@@ -153,7 +162,7 @@
         }
     }
 
-    /// Gives an interconnect client the final answer to its request.
+    /// Sends an interconnect client the final answer to its request.
     pub(super) fn respond_to_interconnect_client(
         &mut self,
         now: Micros,
@@ -165,13 +174,13 @@
         };
         let is_late = now + self.limits.answer_lead_us >= session.deadline;
         session.respond(&frontend::response(answer, is_late));
-        // The next request may have arrived meanwhile. It is read from the loop, not from here, so
-        // that a peer CDN that sends many at once can't nest them.
+        // The next request may already have arrived. A timer resumes reading, rather than a call
+        // from here, so that many requests sent at once cannot cause deep recursion.
         self.timers
             .set(now, TimerEvent::ResumeInterconnectClient(key));
     }
 
-    /// Reads the next request after an answer.
+    /// Handles the next request on a connection after an answer.
     pub(super) fn resume_interconnect_client(&mut self, now: Micros, key: SlabKey) {
         let result = self.read_interconnect_client(now, key);
         let written = match result {
@@ -183,8 +192,8 @@
         }
     }
 
-    /// Writes as much of an interconnect connection's answer as its client takes. False where the
-    /// connection is broken.
+    /// Writes the answer on an interconnect connection until all is written or the socket accepts
+    /// no more. Returns false if the connection is broken.
     pub(super) fn write_interconnect_client(&mut self, key: SlabKey) -> bool {
         let Some((transport, session)) = self.connections.interconnect_client_mut(key) else {
             return true;
--- a/crates/proxy/src/event_loop/mod.rs
+++ b/crates/proxy/src/event_loop/mod.rs
@@ -1,16 +1,16 @@
-//! The event loop: sockets, timers and signals on one side, the request table on the other.
+//! The event loop, which connects sockets, timers and signals with the request table.
 //!
-//! One thread waits for readiness, handles what is ready, then the timers that are due. After each
-//! of these it executes the commands that the request table has issued meanwhile, so that decisions
-//! take effect in the order in which they were made.
+//! A single thread waits for socket readiness, handles the ready sockets, and then handles the
+//! timers that are due. After each socket and each timer it executes the commands that the request
+//! table has issued, so that the decisions of the request table take effect in order.
 //!
-//! | What | Where |
+//! | Task | Module |
 //! | --- | --- |
-//! | Sockets bound, purges and known events replayed | `startup` |
-//! | Clients accepted, and accepting paused | `acceptor` |
-//! | The connection table: opening, closing | `connections` |
-//! | Readiness of a connection: reading, writing | `readiness` |
-//! | Everything that happens at a set time | `timer` |
+//! | Binding sockets, replaying stored purges and known events | `startup` |
+//! | Accepting client connections, pausing and resuming | `acceptor` |
+//! | The connection table: opening and closing connections | `connections` |
+//! | Handling readiness of a connection: reading and writing | `readiness` |
+//! | Timers | `timer` |
 //! | Client connections: FastCGI, accounting, eviction | `clients` |
 //! | Interconnect clients, notifications to peer CDNs | `interconnect`, `notifications` |
 //! | Connections to cache servers | `upstreams` |
@@ -58,14 +58,15 @@
 use timer::TimerEvent;
 use upstreams::UpstreamConnections;
 
-/// The clock is read again after so many commands.
+/// Number of commands executed between two readings of the clock.
 const COMMANDS_PER_CLOCK_READING: usize = 16;
-/// A wait that takes longer than this has found nothing ready at first.
-const MIN_WAIT_US: Micros = 1_000;
-/// The longest wait for readiness where no timer is near.
+/// Longest duration of a poller wait that found sockets ready from the beginning. A longer wait
+/// began with no socket ready.
+const MAX_IMMEDIATE_WAIT_US: Micros = 1_000;
+/// Longest wait for readiness when no timer is due earlier.
 const MAX_WAIT_US: Micros = 1_000_000;
 
-/// The proxy as a running program. It owns every socket and timer.
+/// A running proxy. Owns every socket and timer.
 pub struct EventLoop {
     clock: Clock,
     limits: Limits,
@@ -73,8 +74,9 @@
     poller: Poller,
     timers: TimerQueue<TimerEvent>,
     connections: Slab<Connection>,
-    /// What the poller reports now has been ready since then at the earliest.
-    ready_since: Micros,
+    /// Earliest time at which the sockets that the poller reports in this turn can have become
+    /// ready.
+    earliest_ready_at: Micros,
     signals: Signals,
     shutdown: Shutdown,
     reload: Reload,
@@ -88,12 +90,13 @@
 }
 
 impl EventLoop {
-    /// Where FastCGI clients connect; none once a shutdown's grace period is over.
-    pub fn address(&self) -> Option<SocketAddr> {
+    /// Returns the address on which FastCGI clients connect, or `None` after the grace period of a
+    /// shutdown.
+    pub fn fastcgi_address(&self) -> Option<SocketAddr> {
         self.acceptors.fastcgi.as_ref().and_then(Acceptor::address)
     }
 
-    /// Where peer CDNs connect; none without an interconnect.
+    /// Returns the address on which peer CDNs connect, or `None` if no interconnect is configured.
     pub fn interconnect_address(&self) -> Option<SocketAddr> {
         self.acceptors
             .interconnect
@@ -101,46 +104,54 @@
             .and_then(Acceptor::address)
     }
 
-    /// A handle that does from another thread what the signals do.
-    pub fn control(&self) -> io::Result<ControlHandle> {
+    /// Returns a handle with which another thread can trigger what SIGTERM and SIGHUP trigger.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the sockets that carry the signals cannot be duplicated.
+    pub fn control_handle(&self) -> io::Result<ControlHandle> {
         self.signals.control_handle()
     }
 
-    /// Serves until SIGTERM, and then until everything that was admitted is answered.
+    /// Serves requests until SIGTERM arrives and every admitted request is answered.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if waiting for readiness fails.
     pub fn run(&mut self) -> io::Result<()> {
         let mut ready = Vec::new();
         while !self.is_shut_down() {
-            let waits_since = self.clock.now();
-            self.poller.wait(self.wait_us(waits_since), &mut ready)?;
-            let reported_at = self.clock.now();
-            if reported_at > waits_since + MIN_WAIT_US {
-                self.ready_since = reported_at;
+            let wait_began_at = self.clock.now();
+            self.poller.wait(self.wait_us(wait_began_at), &mut ready)?;
+            let wait_ended_at = self.clock.now();
+            if wait_ended_at > wait_began_at + MAX_IMMEDIATE_WAIT_US {
+                self.earliest_ready_at = wait_ended_at;
             }
-            let mut now = reported_at;
+            let mut now = wait_ended_at;
             for event in ready.drain(..) {
                 self.handle_poll_event(now, event);
                 now = self.clock.now();
             }
             self.handle_due_timers(now);
-            // What becomes ready in this turn is reported by the next wait, at once. A wait that
-            // took its time has reported what became ready just then.
-            self.ready_since = reported_at;
+            // A socket that becomes ready during this turn is reported immediately by the next
+            // wait. A wait that blocked reports only sockets that became ready when it returned.
+            self.earliest_ready_at = wait_ended_at;
         }
-        self.check_nothing_is_open();
+        self.check_all_requests_settled();
         self.log_summary();
         Ok(())
     }
 
-    /// How long the poller may wait: until the next timer, within bounds.
+    /// Returns how long the poller may wait: until the next timer is due, at most `MAX_WAIT_US`.
     fn wait_us(&self, now: Micros) -> Micros {
-        let until_next_timer = self
+        let until_next_timer_us = self
             .timers
             .next_due()
             .map_or(MAX_WAIT_US, |at| at.saturating_sub(now));
-        until_next_timer.min(MAX_WAIT_US)
+        until_next_timer_us.min(MAX_WAIT_US)
     }
 
-    /// Dispatches what the poller reports, by its token.
+    /// Dispatches a readiness event by its token.
     fn handle_poll_event(&mut self, now: Micros, event: Readiness) {
         match event.token {
             tokens::FASTCGI_LISTENER => self.accept_clients(now, ListenerKind::FastCgi),
@@ -151,11 +162,12 @@
             token => self.handle_readiness(now, SlabKey::from_u64(token), event),
         }
         self.execute_commands(now);
-        self.announce_readiness(now);
+        self.advertise_readiness(now);
     }
 
-    /// Handles the timers that are due, at the time at which each of them is handled. What they set
-    /// anew comes due in the next turn.
+    /// Handles the timers that are due at `due_by`. The first timer is handled with `due_by` as the
+    /// current time. For each further timer the clock is read again. A timer that is set meanwhile
+    /// for a later time than `due_by` is handled in a later turn.
     fn handle_due_timers(&mut self, due_by: Micros) {
         let mut is_first = true;
         while let Some(timer) = self.timers.pop_due(due_by) {
@@ -166,8 +178,9 @@
         }
     }
 
-    /// Executes the commands of the request table, and those that follow from them. Where there are
-    /// many, the last ones come noticeably later than the first.
+    /// Executes the commands that the request table has issued, and the commands that result from
+    /// executing them. The clock is read again at intervals, because a long list of commands takes
+    /// noticeable time.
     fn execute_commands(&mut self, mut now: Micros) {
         loop {
             let commands = self.request_table.take_commands();
@@ -197,7 +210,8 @@
         }
     }
 
-    /// Gives a client its final answer, and ends its connection where that was the last one.
+    /// Sends a client the final answer to a request, and closes the connection gracefully if no
+    /// further answer will follow on it.
     fn deliver_answer(&mut self, now: Micros, target: ResponseTarget, answer: Answer) {
         self.respond(now, target, answer);
         if let Err(reason) = self.write(now, target.connection) {
@@ -206,13 +220,14 @@
         self.update_client_activity(now, target.connection);
     }
 
-    /// Whether the proxy reports itself as ready for requests.
+    /// Returns whether the proxy reports itself as ready for requests.
     fn is_ready(&self) -> bool {
         self.request_table.is_ready() && !self.shutdown.is_requested()
     }
 
-    /// Every request that was admitted has its answer, or lost its client, when the program ends.
-    fn check_nothing_is_open(&self) {
+    /// Checks that at the end of the program every admitted request was answered or its client has
+    /// disconnected.
+    fn check_all_requests_settled(&self) {
         let invariants = &self.request_table.invariants;
         for id in self.request_table.unsettled_ids() {
             invariants.check(Invariant::EndOnlyIfAnswered, false, id);
@@ -224,8 +239,8 @@
     fn log_summary(&self) {
         let counters = self.request_table.counters;
         log::info!(
-            "ended: {} requests admitted, {} served, {} rejected, {} failed, {} abandoned by \
-             their clients, {} attempts",
+            "shutdown complete: {} requests admitted, {} served, {} rejected, {} failed, {} with \
+             a disconnected client, {} attempts sent",
             counters.admitted,
             counters.served,
             counters.rejected,
--- a/crates/proxy/src/event_loop/notifications.rs
+++ b/crates/proxy/src/event_loop/notifications.rs
@@ -1,4 +1,4 @@
-//! Delivery of notifications to peer CDNs: purges and changes of our footprint.
+//! Delivery of notifications to peer CDNs, about purges and changes of this CDN's footprint.
 
 use super::connections::ConnectionRole;
 use super::interconnect::Interconnect;
@@ -13,15 +13,15 @@
 #[cfg(test)]
 mod tests;
 
-/// The wait before a retry doubles with each attempt up to this one.
+/// Maximum number of times that the wait before a retry is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// A notification on its way to a peer CDN.
+/// The delivery of a notification to a peer CDN, over one or more attempts.
 #[derive(Clone, Debug)]
 pub(super) struct NotificationDelivery {
     notification: Notification,
     attempts: u32,
-    /// The status that the peer CDN answered the present attempt with.
+    /// HTTP status with which the peer CDN answered the current attempt, if it has answered.
     status: Option<u16>,
     response: MessageParser,
 }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The request that carries the notification.
+    /// Returns the HTTP request that carries the notification.
     pub(super) fn request(&self) -> Vec<u8> {
         let host = self.notification.address.to_string();
         let content_type = format!("{MEDIA}{}", self.notification.ptype);
@@ -56,7 +56,11 @@
         request
     }
 
-    /// Takes in the response up to its status, which is all that counts.
+    /// Parses the response up to its status and ignores the rest.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the response violates the protocol.
     pub(super) fn read(&mut self, input: &[u8]) -> Result<(), ProtocolError> {
         if let (_, Some(Piece::Head(head))) = self.response.parse(input)? {
             self.status = head.status();
@@ -64,7 +68,7 @@
         Ok(())
     }
 
-    /// Whether the peer CDN has answered.
+    /// Returns whether the peer CDN has answered the current attempt.
     pub(super) fn has_response(&self) -> bool {
         self.status.is_some()
     }
@@ -75,19 +79,19 @@
     }
 }
 
-/// A parser of responses whose body is not looked at.
+/// Returns a parser for responses whose body is ignored.
 fn response_parser(limits: &Limits) -> MessageParser {
     MessageParser::responses(limits.line_bytes, usize::MAX)
 }
 
 impl EventLoop {
-    /// Notifies peer CDNs of our footprint where our readiness has changed.
-    pub(super) fn announce_readiness(&mut self, now: Micros) {
+    /// Notifies peer CDNs of this CDN's footprint if the readiness of the proxy has changed.
+    pub(super) fn advertise_readiness(&mut self, now: Micros) {
         let is_ready = self.is_ready();
         let Some(interconnect) = &mut self.interconnect else {
             return;
         };
-        if std::mem::replace(&mut interconnect.announced_ready, is_ready) == is_ready {
+        if std::mem::replace(&mut interconnect.advertised_ready, is_ready) == is_ready {
             return;
         }
         let notifications = interconnect.frontend.footprint_advertisements(is_ready);
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Passes a purge that came by the event bus on to peer CDNs.
+    /// Forwards a purge from the event bus to peer CDNs.
     pub(super) fn forward_purge(&mut self, now: Micros, object: Option<&str>, group: u64) {
         let Some(interconnect) = &self.interconnect else {
             return;
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Begins the delivery of a notification, unless too many are in flight.
+    /// Begins the delivery of a notification, or drops it if too many are in flight.
     pub(super) fn queue_notification(&mut self, now: Micros, notification: Notification) {
         let Some(Interconnect {
             notifications_in_flight,
@@ -118,8 +122,10 @@
         };
         if *notifications_in_flight >= self.limits.notifications {
             log::warn!(
-                "a notification for {} is dropped: too many are in flight",
-                notification.address
+                "dropping the notification for peer CDN {}: the limit of {} notifications in \
+                 flight is reached",
+                notification.address,
+                self.limits.notifications
             );
             return;
         }
@@ -128,7 +134,7 @@
         self.send_notification(now, Box::new(delivery));
     }
 
-    /// Begins an attempt to deliver a notification, on a connection of its own.
+    /// Begins an attempt to deliver a notification, on a new connection.
     pub(super) fn send_notification(&mut self, now: Micros, delivery: Box<NotificationDelivery>) {
         let address = delivery.notification.address;
         let unsent = delivery.clone();
@@ -139,13 +145,13 @@
                     TimerEvent::ResponseTimeout(key),
                 );
             }
-            Err(_) => self.notification_attempted(now, unsent),
+            Err(_) => self.handle_notification_attempt_end(now, unsent),
         }
     }
 
-    /// An attempt is over, with a response or without one: the notification is delivered, given up
-    /// or tried again.
-    pub(super) fn notification_attempted(
+    /// Handles the end of a delivery attempt. Depending on the response, the notification is
+    /// delivered, dropped or sent again later.
+    pub(super) fn handle_notification_attempt_end(
         &mut self,
         now: Micros,
         mut delivery: Box<NotificationDelivery>,
@@ -154,10 +160,17 @@
         let Notification { address, path, .. } = &delivery.notification;
         match delivery.status {
             Some(200..=299) => {}
-            // Refused: the same notification would be refused again.
-            Some(status @ 400..=499) => log::warn!("{address}{path} answered {status}"),
+            // The peer CDN would reject the same notification again.
+            Some(status @ 400..=499) => log::warn!(
+                "peer CDN {address} rejected the notification for {path} with status {status}, \
+                 dropping it"
+            ),
             _ if delivery.attempts >= self.limits.notification_attempts => {
-                log::warn!("{address}{path} takes no notification");
+                log::warn!(
+                    "peer CDN {address} did not accept the notification for {path} in {} attempts, \
+                     dropping it",
+                    delivery.attempts
+                );
             }
             _ => {
                 delivery.prepare_retry(response_parser(&self.limits));
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -1,5 +1,5 @@
-//! Purges between the proxies of one installation, over UDP, and purges that are kept for the next
-//! start.
+//! Exchange of purges between the proxies of one installation over UDP, and storage of purges
+//! across restarts.
 
 use super::timer::TimerEvent;
 use super::{tokens, EventLoop};
@@ -11,20 +11,22 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// How often a purge is repeated: any datagram may be lost.
-pub(super) const REPEATS: u8 = 2;
-/// One byte more than the longest datagram, so that a longer one is recognized rather than cut.
+/// Number of times that a purge is sent again after the first transmission, because any datagram
+/// may be lost.
+pub(super) const GOSSIP_REPEATS: u8 = 2;
+/// Size of the receive buffer. It is one byte larger than the longest valid datagram, so that a
+/// longer datagram is detected instead of being truncated to a valid length.
 const RECEIVE_BUFFER_BYTES: usize = gossip::MAX_DATAGRAM_BYTES + 1;
 
-/// The socket for purge gossip, and the proxies it is exchanged with.
+/// The socket for purge gossip, and the peer proxies with which purges are exchanged.
 pub(super) struct PurgeGossip {
     socket: UdpSocket,
-    /// All proxies of the installation; may contain this one.
+    /// Addresses of all proxies of the installation. May include this proxy.
     pub(super) peers: Vec<SocketAddr>,
 }
 
 impl PurgeGossip {
-    /// Binds the socket and has the poller watch it.
+    /// Binds the socket and registers it with the poller.
     pub(super) fn bind(
         address: SocketAddr,
         peers: Vec<SocketAddr>,
@@ -35,15 +37,15 @@
         Ok(PurgeGossip { socket, peers })
     }
 
-    /// The next purge received; none once nothing more has arrived. Datagrams from anyone but a
-    /// peer are ignored.
+    /// Returns the next received purge, or `None` if no datagram is left. Ignores invalid datagrams
+    /// and those from senders that are not peer proxies.
     fn receive(&self) -> Option<Purge> {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         loop {
             let (length, sender) = match self.socket.recv_from(&mut buffer) {
                 Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
-                // Any other error concerns a single datagram.
+                // Any other error affects a single datagram.
                 Err(_) => continue,
             };
             if !self.peers.contains(&sender) {
@@ -64,15 +66,15 @@
 }
 
 impl EventLoop {
-    /// Takes in all purges that peer proxies have sent.
+    /// Receives and applies the purges that peer proxies have sent.
     pub(super) fn receive_purge_gossip(&mut self, now: Micros) {
         while let Some(purge) = self.purge_gossip.as_ref().and_then(PurgeGossip::receive) {
             self.purge_permanently(now, purge);
         }
     }
 
-    /// Sends a purge to the peer proxies, now and a few times later.
-    pub(super) fn gossip_purge(&mut self, now: Micros, datagram: String, repeats_left: u8) {
+    /// Sends a purge to the peer proxies now, and schedules `repeats_left` further transmissions.
+    pub(super) fn send_purge_gossip(&mut self, now: Micros, datagram: String, repeats_left: u8) {
         let Some(gossip) = &self.purge_gossip else {
             return;
         };
@@ -88,10 +90,11 @@
         }
     }
 
-    /// Applies a purge that nobody else enforces for good, and keeps it for the next start. False: it
-    /// is in force, but not on the disk yet.
+    /// Applies a purge for as long as the proxy runs, and stores it across restarts. Such a purge
+    /// is permanent because no other component enforces it. Returns false if the purge is in force
+    /// but not yet written to the disk.
     pub(super) fn purge_permanently(&mut self, now: Micros, purge: Purge) -> bool {
-        // It counts from when it is heard of: its stamp is of a clock that may be wrong.
+        // The purge is dated `now`, because its time stamp comes from a clock that may be wrong.
         let (object, group) = (purge.object.clone(), purge.group);
         let is_in_force = self
             .request_table
@@ -104,13 +107,17 @@
             None => Ok(()),
         };
         if let Err(e) = &logged {
-            log::error!("a purge is in force but not kept for the next start yet: {e}");
+            log::error!(
+                "cannot write a purge to the purge log, retrying in {} ms; it is in force but \
+                 would be lost at a restart: {e}",
+                self.limits.purge_log_retry_us / 1_000
+            );
             self.schedule_purge_log_retry(now);
         }
         logged.is_ok()
     }
 
-    /// Writes purges to the disk that could not be written before.
+    /// Writes the purges to the purge log that could not be written before.
     pub(super) fn retry_purge_log(&mut self, now: Micros) {
         if let Some(interconnect) = &mut self.interconnect {
             interconnect.purge_log_retry_scheduled = false;
@@ -120,12 +127,12 @@
             None => Ok(()),
         };
         match flushed {
-            Ok(()) => log::info!("all purges are kept for the next start"),
+            Ok(()) => log::info!("all purges are written to the purge log"),
             Err(_) => self.schedule_purge_log_retry(now),
         }
     }
 
-    /// Has purges written again in a moment that could not be written.
+    /// Schedules a retry of writing the purge log, unless one is already scheduled.
     pub(super) fn schedule_purge_log_retry(&mut self, now: Micros) {
         let Some(interconnect) = &mut self.interconnect else {
             return;
--- a/crates/proxy/src/event_loop/readiness.rs
+++ b/crates/proxy/src/event_loop/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness of a connection: finishing connects, reading, writing, by the role of the connection.
+//! Handles readiness of a connection: completes connecting, reads and writes, depending on the role
+//! of the connection.
 
 use super::close_reason::CloseReason;
 use super::connections::ConnectionRole;
@@ -11,10 +12,10 @@
 use edge_routing::Micros;
 
 impl EventLoop {
-    /// Handles what the poller reports of a connection.
+    /// Handles a readiness event of a connection.
     pub(super) fn handle_readiness(&mut self, now: Micros, key: SlabKey, readiness: Readiness) {
-        // A stale event, of a connection that was closed earlier in the same round, misses by its
-        // generation.
+        // The key of a connection that was closed earlier in the same turn finds no entry, because
+        // the generation in the key differs. Its event is ignored.
         let Some(connection) = self.connections.get(key) else {
             return;
         };
@@ -23,16 +24,16 @@
                 return self.close(now, key, reason);
             }
         }
-        if readiness.peer_closed && self.waits_in_vain(key) {
-            // Nobody waits for its requests, those among them that are not read yet.
+        if readiness.peer_closed && self.closes_on_half_close(key) {
+            // The client no longer waits for its requests, including those that are not read yet.
             return self.close(now, key, CloseReason::PeerClosed);
         }
-        let mut end = Ok(());
+        let mut input_result = Ok(());
         if readiness.read {
-            let (progress, result) = self.receive(now, key, readiness.broken);
+            let (progress, result) = self.read_socket(now, key, readiness.broken);
             if let Err(e) = result {
                 self.log_protocol_error(key, &e);
-                end = Err(CloseReason::ProtocolError);
+                input_result = Err(CloseReason::ProtocolError);
             }
             match progress {
                 IoProgress::PeerClosed => return self.close(now, key, CloseReason::PeerClosed),
@@ -40,16 +41,17 @@
                 IoProgress::Advanced | IoProgress::WouldBlock | IoProgress::Postponed => {}
             }
         }
-        if let Err(reason) = end.and_then(|()| self.write(now, key)) {
+        if let Err(reason) = input_result.and_then(|()| self.write(now, key)) {
             return self.close_gracefully(now, key, reason);
         }
         self.update_client_activity(now, key);
         self.enforce_partial_request_limit(now, key);
     }
 
-    /// Whether a client that has ended its half gets nothing more. A peer CDN gets the responses to
-    /// what it has sent, unless it has left while it waits for content.
-    fn waits_in_vain(&self, key: SlabKey) -> bool {
+    /// Returns whether a connection is closed when its client closes its half. This holds for
+    /// FastCGI clients. A peer CDN still gets the responses to the requests it has sent, unless it
+    /// closes its half while it waits for content.
+    fn closes_on_half_close(&self, key: SlabKey) -> bool {
         let role = self.connections.get(key).map(|connection| &connection.role);
         match role {
             Some(ConnectionRole::FastCgiClient(_)) => true,
@@ -58,25 +60,27 @@
         }
     }
 
-    /// Takes in what a connection has received by now, also where the poller has not reported it
-    /// yet.
+    /// Reads and handles what a connection has received so far, even if the poller has not yet
+    /// reported it.
     pub(super) fn read_pending_input(&mut self, now: Micros, key: SlabKey) {
         self.handle_readiness(now, key, Readiness::readable(key.to_u64()));
         self.execute_commands(now);
     }
 
-    /// Completes an outgoing connection and queues the request it was opened for, if that is fixed
-    /// by its role.
+    /// Completes an outgoing connection, and queues its first request if the role determines one.
     ///
     /// # Errors
     ///
-    /// It could not be established.
+    /// Returns the reason for closing the connection if it could not be established.
     fn finish_connect(&mut self, key: SlabKey) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
         connection.transport.finish_connect().map_err(|e| {
-            log::debug!("a connection could not be established: {e}");
+            log::debug!(
+                "connection {:x} could not be established: {e}",
+                key.to_u64()
+            );
             if errors::is_local(&e) {
                 CloseReason::LocalFailure
             } else {
@@ -100,9 +104,9 @@
         Ok(())
     }
 
-    /// Reads from the socket once and handles what came. Both results count: the last bytes before
-    /// the end of a connection are handled too.
-    fn receive(
+    /// Reads from the socket once and handles the input. The caller must use both results, because
+    /// the last bytes before the end of a connection are handled too.
+    fn read_socket(
         &mut self,
         now: Micros,
         key: SlabKey,
@@ -112,10 +116,10 @@
             Some(connection) if connection.transport.connected => {
                 let progress = connection.transport.read(broken);
                 if progress == IoProgress::Postponed {
-                    self.retry_connection_later(now, key);
+                    self.schedule_connection_retry(now, key);
                     return (progress, Ok(()));
                 }
-                let result = self.read(now, key);
+                let result = self.handle_input(now, key);
                 if let Some(connection) = self.connections.get_mut(key) {
                     connection.unread_since = None;
                 }
@@ -126,17 +130,25 @@
     }
 
     fn log_protocol_error(&self, key: SlabKey, error: &ProtocolError) {
-        // A client that sends garbage must not fill the log with it.
+        // A client that sends invalid input must not be able to fill the log.
         let level = if self.is_client(key) {
             log::Level::Debug
         } else {
             log::Level::Warn
         };
-        log::log!(level, "a connection is ended: {error}");
+        log::log!(
+            level,
+            "closing connection {:x} after a protocol error: {error}",
+            key.to_u64()
+        );
     }
 
-    /// Handles the input that a connection has buffered.
-    pub(super) fn read(&mut self, now: Micros, key: SlabKey) -> Result<(), ProtocolError> {
+    /// Handles the input in the buffer of a connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol.
+    pub(super) fn handle_input(&mut self, now: Micros, key: SlabKey) -> Result<(), ProtocolError> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
@@ -147,7 +159,7 @@
                 *discarded_bytes += connection.transport.input.len();
                 connection.transport.input.clear();
                 if *discarded_bytes > self.limits.lingering_close_bytes {
-                    return Err(ProtocolError::TooLong("the input after the end"));
+                    return Err(ProtocolError::TooLong("input during a lingering close"));
                 }
                 Ok(())
             }
@@ -164,16 +176,16 @@
         }
     }
 
-    /// Writes what a connection has to send.
+    /// Writes the pending output of a connection.
     ///
     /// # Errors
     ///
-    /// The connection is over, and is to be closed for this reason.
+    /// Returns the reason for closing the connection if it is finished or broken.
     pub(super) fn write(&mut self, now: Micros, key: SlabKey) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
-        let unless_broken = |is_broken: bool| match is_broken {
+        let error_if_broken = |is_broken: bool| match is_broken {
             true => Err(CloseReason::Broken),
             false => Ok(()),
         };
@@ -184,7 +196,7 @@
             }
             ConnectionRole::InterconnectClient(_) => {
                 let is_broken = !self.write_interconnect_client(key);
-                unless_broken(is_broken).and_then(|()| self.check_client_is_unfinished(key))
+                error_if_broken(is_broken).and_then(|()| self.check_client_is_unfinished(key))
             }
             ConnectionRole::Lingering { .. } => Ok(()),
             ConnectionRole::Upstream(_) => self.flush_upstream(now, key),
@@ -194,15 +206,20 @@
             ConnectionRole::EventBus(_)
             | ConnectionRole::Consul(_)
             | ConnectionRole::Notification(_) => {
-                unless_broken(connection.transport.write() == IoProgress::Broken)
+                error_if_broken(connection.transport.write() == IoProgress::Broken)
             }
         };
         self.update_poll_interest(now, key);
         written
     }
 
-    /// An error once nothing more will be sent on a client connection: its client asked for it to
-    /// end, or the grace period of a shutdown is over and no request is open or partially received.
+    /// Checks whether anything may still be sent on a client connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for closing the connection if nothing more will be sent on it. Either the
+    /// client has asked for it to be closed, or the grace period of a shutdown is over and no
+    /// request is open or partially received.
     fn check_client_is_unfinished(&self, key: SlabKey) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get(key) else {
             return Ok(());
@@ -216,8 +233,8 @@
         if session.is_finished() {
             return Err(CloseReason::Finished);
         }
-        let is_nothing_open = session.is_idle() && !session.has_partial_input();
-        if self.shutdown.is_grace_over() && is_nothing_open {
+        let has_no_open_request = session.is_idle() && !session.has_partial_input();
+        if self.shutdown.is_grace_over() && has_no_open_request {
             return Err(CloseReason::ShuttingDown);
         }
         Ok(())
--- a/crates/proxy/src/event_loop/reload.rs
+++ b/crates/proxy/src/event_loop/reload.rs
@@ -1,5 +1,4 @@
-//! SIGHUP: the configuration is read again, and what a running proxy can follow takes effect at
-//! once.
+//! Reload of the configuration on SIGHUP. Settings that can change at run time take effect at once.
 
 use super::timer::TimerEvent;
 use super::EventLoop;
@@ -7,12 +6,13 @@
 use crate::net::TimerKey;
 use edge_routing::Micros;
 
-/// The configuration in force, and where a new one is read from.
+/// The current configuration, and the source from which a new one is read.
 pub(super) struct Reload {
     pub(super) config: Config,
     pub(super) source: Source,
-    /// When a configuration that could not be read is read again: the last SIGHUP counts.
-    retry: Option<TimerKey>,
+    /// Timer of the next attempt to read a configuration that could not be read. A further SIGHUP
+    /// replaces it.
+    retry_timer: Option<TimerKey>,
 }
 
 impl Reload {
@@ -20,72 +20,85 @@
         Reload {
             config,
             source,
-            retry: None,
+            retry_timer: None,
         }
     }
 }
 
 impl EventLoop {
-    /// Reads the configuration again. No connection is dropped for it, and a faulty file changes
-    /// nothing: a proxy that stopped over it would take all its clients with it.
+    /// Handles SIGHUP by reading the configuration again. Client connections stay open. An invalid
+    /// file changes nothing, because a proxy that stopped on it would disconnect all its clients.
     pub(super) fn reload(&mut self, now: Micros) {
         self.signals.hangup.drain();
-        if let Some(retry) = self.reload.retry.take() {
-            self.timers.cancel(retry);
+        if let Some(timer) = self.reload.retry_timer.take() {
+            self.timers.cancel(timer);
         }
         let new = (self.reload.source)();
         if let Err(error) = &new {
-            log::error!("SIGHUP: the configuration stays as it was, and is read again: {error}");
+            log::error!(
+                "SIGHUP: cannot read the configuration, keeping the current one and retrying for \
+                 {} ms: {error}",
+                self.limits.reload_patience_us / 1_000
+            );
         }
         let give_up_at = now + self.limits.reload_patience_us;
-        self.take_over(now, new, give_up_at);
+        self.apply_or_retry(now, new, give_up_at);
     }
 
-    /// Reads a configuration once more that could not be read: it may have been half written, or
-    /// the file could not be opened for a moment.
-    pub(super) fn read_configuration(&mut self, now: Micros, give_up_at: Micros) {
-        self.reload.retry = None;
+    /// Reads the configuration again after a failure. The file may have been only partially
+    /// written, or opening it may have failed temporarily.
+    pub(super) fn retry_reload(&mut self, now: Micros, give_up_at: Micros) {
+        self.reload.retry_timer = None;
         let new = (self.reload.source)();
-        self.take_over(now, new, give_up_at);
+        self.apply_or_retry(now, new, give_up_at);
     }
 
-    fn take_over(&mut self, now: Micros, new: Result<Config, ConfigError>, give_up_at: Micros) {
+    fn apply_or_retry(
+        &mut self,
+        now: Micros,
+        new: Result<Config, ConfigError>,
+        give_up_at: Micros,
+    ) {
         let new = match new {
             Ok(new) => new,
             Err(_) if now < give_up_at => {
                 let at = now + self.limits.reload_retry_us;
-                let retry = self.timers.set(at, TimerEvent::RetryReload { give_up_at });
-                self.reload.retry = Some(retry);
+                let timer = self.timers.set(at, TimerEvent::RetryReload { give_up_at });
+                self.reload.retry_timer = Some(timer);
                 return;
             }
             Err(error) => {
-                return log::error!("SIGHUP: the configuration is given up: {error}");
+                return log::error!(
+                    "SIGHUP: cannot read the configuration after retrying for {} ms, keeping the \
+                     current one: {error}",
+                    self.limits.reload_patience_us / 1_000
+                );
             }
         };
         for key in self.reload.config.fixed_changes(&new) {
-            log::warn!("SIGHUP: '{key}' has changed, which takes effect with the next start only");
+            log::warn!("SIGHUP: the change of '{key}' takes effect only after a restart");
         }
         self.apply_configuration(now, new);
     }
 
-    /// Takes over the addresses of the event bus and of the peer proxies; everything else is fixed
-    /// at the start.
+    /// Applies the addresses of the event bus and of the peer proxies. All other settings are fixed
+    /// at startup.
     fn apply_configuration(&mut self, now: Micros, mut new: Config) {
         if let (Some(gossip), Some(config)) = (&mut self.purge_gossip, &new.purge_gossip) {
             gossip.peers.clone_from(&config.peers);
         }
         let current = &mut self.reload.config;
-        let event_bus_moved = current.event_bus != new.event_bus;
+        let event_bus_address_changed = current.event_bus != new.event_bus;
         current.event_bus = new.event_bus;
         current.purge_gossip = new.purge_gossip.take().or(current.purge_gossip.take());
-        let also = if event_bus_moved {
-            "; the event bus has moved"
+        let suffix = if event_bus_address_changed {
+            ", reconnecting to the event bus at its new address"
         } else {
             ""
         };
-        log::info!("SIGHUP: the configuration is read again{also}");
-        if event_bus_moved {
-            self.follow_moved_event_bus(now);
+        log::info!("SIGHUP: configuration reloaded{suffix}");
+        if event_bus_address_changed {
+            self.reconnect_at_new_event_bus_address(now);
         }
     }
 }
--- a/crates/proxy/src/event_loop/shutdown.rs
+++ b/crates/proxy/src/event_loop/shutdown.rs
@@ -1,13 +1,14 @@
-//! Graceful shutdown: what happens between SIGTERM and the end of the process.
+//! Graceful shutdown, from SIGTERM to the end of the process.
 //!
-//! 1. SIGTERM (`begin_shutdown`): the proxy reports itself as not ready. It goes on accepting
-//!    connections and requests for a grace period, in which a request still has the time to be
-//!    answered before SIGKILL.
-//! 2. The grace period ends (`end_shutdown_grace`): nothing more is accepted, further requests are
-//!    rejected, and each client connection ends once nothing is owed on it.
-//! 3. The shutdown deadline: whatever is still open is answered as failed, because SIGKILL may
-//!    follow.
-//! 4. The last client connection is gone (`is_shut_down`): `run` returns.
+//! 1. On SIGTERM (`begin_shutdown`) the proxy reports itself as not ready. It continues to accept
+//!    connections and requests for a grace period, because a request that arrives in this period
+//!    can still be answered before SIGKILL.
+//! 2. At the end of the grace period (`end_shutdown_grace`) the proxy stops accepting connections
+//!    and rejects further requests. It closes each client connection once all requests on the
+//!    connection are answered.
+//! 3. At the shutdown deadline (`handle_shutdown_deadline`) the proxy answers all open requests as
+//!    failed, because SIGKILL may follow.
+//! 4. Once the last client connection is closed (`is_shut_down`), `run` returns.
 
 use super::acceptor::ListenerKind;
 use super::timer::TimerEvent;
@@ -15,39 +16,43 @@
 use crate::net::SlabKey;
 use edge_routing::Micros;
 
-/// How far a graceful shutdown has come.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Shutdown {
-    /// No SIGTERM has come.
+    /// SIGTERM has not arrived.
     #[default]
     NotRequested,
-    /// SIGTERM has come; connections and requests are still taken.
+    /// SIGTERM has arrived. New connections and requests are still accepted.
     Grace,
-    /// The grace period is over: nothing new is taken.
+    /// The grace period is over. No new connections or requests are accepted.
     GraceOver,
 }
 
 impl Shutdown {
-    /// Whether SIGTERM has come.
+    /// Returns whether SIGTERM has arrived.
     pub(super) fn is_requested(self) -> bool {
         self != Shutdown::NotRequested
     }
 
-    /// Whether new requests are rejected.
+    /// Returns whether the grace period is over, so that new requests are rejected.
     pub(super) fn is_grace_over(self) -> bool {
         self == Shutdown::GraceOver
     }
 }
 
 impl EventLoop {
-    /// SIGTERM. A second one changes nothing.
+    /// Handles SIGTERM. A second SIGTERM has no effect.
     pub(super) fn begin_shutdown(&mut self, now: Micros) {
         self.signals.terminate.drain();
         if self.shutdown.is_requested() {
             return;
         }
         self.shutdown = Shutdown::Grace;
-        log::info!("SIGTERM: shutting down once all open requests are answered");
+        log::info!(
+            "SIGTERM received: accepting requests for {} ms more, then exiting once all open \
+             requests are answered",
+            self.limits.shutdown_grace_us / 1_000
+        );
         log::info!("{}", self.request_table.invariants);
         self.timers.set(
             now + self.limits.shutdown_grace_us,
@@ -59,9 +64,9 @@
         );
     }
 
-    /// From here on no request is admitted: one that came now might still be open when the process
-    /// is killed. What was requested before is answered, and each client connection ends once
-    /// nothing is owed on it.
+    /// Ends the grace period. No request is admitted afterwards, because it might still be open
+    /// when the process is killed. Earlier requests are answered, and each client connection is
+    /// closed once all requests on the connection are answered.
     pub(super) fn end_shutdown_grace(&mut self, now: Micros) {
         self.accept_clients(now, ListenerKind::FastCgi);
         self.accept_clients(now, ListenerKind::Interconnect);
@@ -71,12 +76,12 @@
             .into_iter()
             .filter(|key| self.is_client(*key))
             .collect();
-        // What has arrived by now was sent within the grace period.
+        // Input that has arrived by now was sent within the grace period.
         for key in &clients {
             self.read_pending_input(now, *key);
         }
         self.shutdown = Shutdown::GraceOver;
-        log::info!("the grace period is over: nothing more is admitted");
+        log::info!("shutdown grace period is over: rejecting further requests");
         self.acceptors.close(&self.poller);
         for key in clients {
             if let Err(reason) = self.write(now, key) {
@@ -85,15 +90,17 @@
         }
     }
 
-    /// The process may be killed from here on: what is still open is answered as failed, and nothing
-    /// that waits to be accepted can be answered.
-    pub(super) fn reach_shutdown_deadline(&mut self, now: Micros) {
+    /// Answers all open requests as failed and closes the FastCGI listener, because the process may
+    /// be killed from now on. Connections that are not yet accepted get no answer.
+    pub(super) fn handle_shutdown_deadline(&mut self, now: Micros) {
         self.acceptors.fastcgi = None;
         self.request_table.fail_all_pending(now);
     }
 
-    /// Whether `run` may return. A client connection that is left has an answer coming to it, or
-    /// lingers; attempts that nobody waits for end with their connections.
+    /// Returns whether the shutdown is complete and `run` may return. An open client connection
+    /// delays it, because the connection awaits an answer or is in a lingering close. Attempts
+    /// without a waiting client do not delay it; they end when the process closes their
+    /// connections.
     pub(super) fn is_shut_down(&self) -> bool {
         self.shutdown.is_grace_over()
             && self.clients.connections == 0
--- a/crates/proxy/src/event_loop/signals.rs
+++ b/crates/proxy/src/event_loop/signals.rs
@@ -1,38 +1,47 @@
-//! SIGTERM and SIGHUP as readable sockets, and the handle that raises them from another thread.
+//! SIGTERM and SIGHUP as readable sockets, and the handle that triggers them from another thread.
 
-use super::startup::retry_at_start;
+use super::startup::retry_startup_step;
 use super::tokens;
 use crate::net::{Interest, Poller};
 use crate::sys;
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// What the handle writes; only the arrival of a byte counts, not its value.
+/// Byte that the control handle writes. The receiver ignores its value.
 const WAKE_BYTE: &[u8] = b"s";
-/// Signals taken in by one read.
+/// Number of bytes that one read takes from a signal pipe. Each signal is one byte.
 const DRAIN_BUFFER_BYTES: usize = 16;
 
-/// Raises in an event loop what the signals raise, from another thread.
+/// Triggers from another thread what SIGTERM and SIGHUP trigger in an event loop.
 pub struct ControlHandle {
     terminate: UnixStream,
     hangup: UnixStream,
 }
 
 impl ControlHandle {
-    /// Shuts the event loop down as SIGTERM does: once everything it has admitted is answered.
+    /// Begins a graceful shutdown, as SIGTERM does. The event loop ends once all admitted requests
+    /// are answered.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket to the event loop cannot be written.
     pub fn stop(&mut self) -> io::Result<()> {
         self.terminate.write_all(WAKE_BYTE)
     }
 
-    /// Has the configuration read again, as SIGHUP does.
+    /// Makes the event loop read the configuration again, as SIGHUP does.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket to the event loop cannot be written.
     pub fn reload(&mut self) -> io::Result<()> {
         self.hangup.write_all(WAKE_BYTE)
     }
 }
 
-/// A signal turned into a readable socket (the self-pipe technique): the signal handler writes to
-/// one end, and the poller watches the other, so a signal is handled between two events like any
-/// other input.
+/// A signal as a readable socket (the self-pipe technique). The signal handler writes to one end
+/// and the poller watches the other end, so that the event loop handles a signal between two other
+/// events, like any input.
 pub(super) struct SignalPipe {
     receiver: UnixStream,
     sender: UnixStream,
@@ -40,30 +49,34 @@
 
 impl SignalPipe {
     fn register(signal: i32) -> io::Result<Self> {
-        let (receiver, sender) = retry_at_start(sys::pair)?;
+        let (receiver, sender) = retry_startup_step(sys::pair)?;
         receiver.set_nonblocking(true)?;
         signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         Ok(SignalPipe { receiver, sender })
     }
 
-    /// Takes in what was raised. Signals that arrive close together count as one.
+    /// Discards all received bytes. Signals that arrive close together count as one.
     pub(super) fn drain(&mut self) {
         let mut bytes = [0; DRAIN_BUFFER_BYTES];
         while self.receiver.read(&mut bytes).is_ok_and(|n| n > 0) {}
     }
 }
 
-/// The signals that the event loop obeys.
+/// The signals that the event loop handles.
 pub struct Signals {
-    /// SIGTERM: shut down.
+    /// SIGTERM, which begins a graceful shutdown.
     pub(super) terminate: SignalPipe,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP, which makes the event loop read the configuration again.
     pub(super) hangup: SignalPipe,
 }
 
 impl Signals {
-    /// Installs the signal handlers. From here on a signal waits for the event loop: before, it would
-    /// end the process.
+    /// Installs the signal handlers. From then on a signal is kept until the event loop handles it.
+    /// Without the handlers a signal would end the process.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the sockets or the signal handlers cannot be set up.
     pub fn register() -> io::Result<Self> {
         Ok(Signals {
             terminate: SignalPipe::register(signal_hook::consts::SIGTERM)?,
@@ -71,13 +84,13 @@
         })
     }
 
-    /// Has the poller report signals under their tokens.
+    /// Registers the signal pipes with the poller under their tokens.
     pub(super) fn watch(&self, poller: &Poller) -> io::Result<()> {
         for (pipe, token) in [
             (&self.terminate, tokens::SIGTERM),
             (&self.hangup, tokens::SIGHUP),
         ] {
-            retry_at_start(|| poller.add(&pipe.receiver, token, Interest::READ))?;
+            retry_startup_step(|| poller.add(&pipe.receiver, token, Interest::READ))?;
         }
         Ok(())
     }
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -1,5 +1,5 @@
-//! Startup: sockets are bound, kept purges and known events replayed, and the sources of the
-//! endpoint list contacted.
+//! Startup: binds the sockets, replays the stored purges and the known events, and contacts the
+//! sources of the endpoint list.
 
 use super::acceptor::{Acceptor, Acceptors, ListenerKind};
 use super::clients::ClientAccounting;
@@ -26,31 +26,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Readiness events taken from the kernel at a time.
-const POLL_BATCH: usize = 256;
+/// Maximum number of readiness events that one poller wait returns.
+const MAX_EVENTS_PER_WAIT: usize = 256;
 
-/// Why the event loop could not start.
+/// Error that prevents the event loop from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A configured address can't be listened on.
-    #[error("{key}: {address}: {source}")]
+    /// Binding a socket to a configured address failed.
+    #[error("cannot listen on {address}, configured under '{key}': {source}")]
     Listen {
-        /// The key of the configuration that names the address.
+        /// Configuration key of the address.
         key: &'static str,
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The file of kept purges can't be used.
-    #[error("cdni.purges: {}: {source}", path.display())]
+    /// The purge log cannot be opened.
+    #[error(
+        "cannot open the purge log {}, configured under 'cdni.purges': {source}",
+        path.display()
+    )]
     PurgeLog {
-        /// The file.
+        /// Path of the purge log.
         path: PathBuf,
-        /// What the system said.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The decision module can't work with its settings.
+    /// The routing module rejects its settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The poller or a signal handler could not be set up.
@@ -58,21 +61,30 @@
     Io(#[from] io::Error),
 }
 
-/// How long the start waits for an error to pass.
-const START_PATIENCE: Duration = Duration::from_secs(5);
-/// How long it waits before it tries again.
-const START_RETRY: Duration = Duration::from_millis(20);
+/// How long a startup step that fails with a transient error is retried.
+const STARTUP_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Wait between two attempts of a startup step.
+const STARTUP_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Makes a step of the start, and again for a while if it fails for a reason that may pass: a
-/// process that ended at once would be missing for much longer than that reason lasts. Nothing is
-/// served yet, so that waiting holds nothing up.
-pub(crate) fn retry_at_start<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + START_PATIENCE;
+/// Runs a startup step, and retries it for a limited time while it fails with a transient error.
+///
+/// Exiting at once would take the proxy out of service for much longer than a transient error
+/// lasts. Blocking the thread is harmless because no requests are served yet.
+///
+/// # Errors
+///
+/// Returns a permanent error at once, and a transient error once the retries have taken
+/// `STARTUP_RETRY_TIMEOUT`.
+pub(crate) fn retry_startup_step<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let give_up_at = Instant::now() + STARTUP_RETRY_TIMEOUT;
     loop {
         match step() {
             Err(error) if errors::may_pass_at_start(&error) && Instant::now() < give_up_at => {
-                log::warn!("the start waits: {error}");
-                thread::sleep(START_RETRY);
+                log::warn!(
+                    "startup step failed, retrying in {} ms: {error}",
+                    STARTUP_RETRY_INTERVAL.as_millis()
+                );
+                thread::sleep(STARTUP_RETRY_INTERVAL);
             }
             result => return result,
         }
@@ -90,27 +102,32 @@
 }
 
 impl EventLoop {
-    /// Binds the sockets and replays the known events. On SIGHUP a new configuration is read from
-    /// `source`.
+    /// Binds the sockets, replays the stored purges and the known events, and contacts the sources
+    /// of the endpoint list. On SIGHUP the event loop reads a new configuration from `source`.
     ///
     /// # Errors
     ///
-    /// What will not pass by itself, at once; what may, such as a moment without descriptors, once
-    /// it has lasted for some seconds.
+    /// Returns a permanent error at once. Returns a transient error, such as a lack of file
+    /// descriptors, once it has lasted for 5 s.
     pub fn start(config: Config, source: Source) -> Result<Self, StartError> {
         let signals = Signals::register()?;
         Self::start_with_signals(config, source, signals)
     }
 
-    /// As [`start`](Self::start), for a program that has registered its signals before.
+    /// Starts the event loop like [`start`](Self::start), with signals that the program has already
+    /// registered.
+    ///
+    /// # Errors
+    ///
+    /// Returns the same errors as [`start`](Self::start).
     pub fn start_with_signals(
         mut config: Config,
         source: Source,
         signals: Signals,
     ) -> Result<Self, StartError> {
-        let poller = retry_at_start(|| Poller::new(POLL_BATCH))?;
+        let poller = retry_startup_step(|| Poller::new(MAX_EVENTS_PER_WAIT))?;
         let fastcgi =
-            retry_at_start(|| Acceptor::bind(ListenerKind::FastCgi, config.listen, &poller))
+            retry_startup_step(|| Acceptor::bind(ListenerKind::FastCgi, config.listen, &poller))
                 .map_err(StartError::listen("listen", config.listen))?;
         signals.watch(&poller)?;
         let (acceptor, interconnect) = match &config.interconnect {
@@ -127,7 +144,7 @@
         let known = std::mem::take(&mut config.known_events);
         let clock = Clock::start();
         let mut event_loop = EventLoop {
-            ready_since: clock.now(),
+            earliest_ready_at: clock.now(),
             clock,
             request_table,
             poller,
@@ -149,7 +166,7 @@
         if !event_loop.is_purge_log_flushed() {
             event_loop.schedule_purge_log_retry(now);
         }
-        event_loop.replay(now, known.events);
+        event_loop.replay_purges_and_events(now, known.events);
         event_loop.connect_event_bus(now);
         event_loop.query_consul(now);
         event_loop.execute_commands(now);
@@ -157,15 +174,16 @@
         Ok(event_loop)
     }
 
-    /// Applies the purges that an earlier process kept, then the events up to the start.
-    fn replay(&mut self, now: Micros, known_events: Vec<EventBusMessage>) {
+    /// Applies the purges from the purge log, then the known events from before the start.
+    fn replay_purges_and_events(&mut self, now: Micros, known_events: Vec<EventBusMessage>) {
         let purge_log = self
             .interconnect
             .as_ref()
             .and_then(|interconnect| interconnect.purge_log.as_ref());
-        let kept_purges = purge_log.map(PurgeLog::purges).unwrap_or_default();
-        for purge in kept_purges {
-            // No copy from before this start passes: the stamp is of a clock that may have been wrong.
+        let stored_purges = purge_log.map(PurgeLog::purges).unwrap_or_default();
+        for purge in stored_purges {
+            // The purge is dated `now`, so that it covers every copy made before this start. The
+            // stored time comes from a clock that may have been wrong.
             self.request_table
                 .purge_permanently(now, purge.object, purge.group, now);
         }
@@ -181,7 +199,7 @@
     }
 
     fn log_addresses(&self) {
-        if let Some(address) = self.address() {
+        if let Some(address) = self.fastcgi_address() {
             log::info!("{} listens on {address}", self.reload.config.name);
         }
         if let Some(address) = self.interconnect_address() {
@@ -197,7 +215,7 @@
 ) -> Result<(Acceptor, Interconnect), StartError> {
     let listen = interconnect_config.listen;
     let acceptor =
-        retry_at_start(|| Acceptor::bind(ListenerKind::Interconnect, listen, poller)).map_err(
+        retry_startup_step(|| Acceptor::bind(ListenerKind::Interconnect, listen, poller)).map_err(
             StartError::listen("cdni.listen", interconnect_config.listen),
         )?;
     let frontend = InterconnectFrontend::new(
@@ -214,20 +232,21 @@
 }
 
 fn open_purge_log(path: &Path) -> Result<PurgeLog, StartError> {
-    retry_at_start(|| PurgeLog::open(path)).map_err(|source| StartError::PurgeLog {
+    retry_startup_step(|| PurgeLog::open(path)).map_err(|source| StartError::PurgeLog {
         path: path.to_owned(),
         source,
     })
 }
 
-/// Peer proxies are sent only the purges that come by the interconnect, so that there is no gossip
-/// without one.
+/// Binds the socket for purge gossip. Returns `None` if either gossip or the interconnect is not
+/// configured: only purges from the interconnect are sent to peer proxies.
 fn start_purge_gossip(config: &Config, poller: &Poller) -> Result<Option<PurgeGossip>, StartError> {
     let (Some(_), Some(gossip)) = (&config.interconnect, &config.purge_gossip) else {
         return Ok(None);
     };
     let bind = || PurgeGossip::bind(gossip.listen, gossip.peers.clone(), poller);
-    let socket = retry_at_start(bind).map_err(StartError::listen("peer_listen", gossip.listen))?;
+    let socket =
+        retry_startup_step(bind).map_err(StartError::listen("peer_listen", gossip.listen))?;
     Ok(Some(socket))
 }
 
--- a/crates/proxy/src/event_loop/timer.rs
+++ b/crates/proxy/src/event_loop/timer.rs
@@ -1,4 +1,4 @@
-//! Everything that the event loop does at a set time.
+//! The timers of the event loop, and what it does when one is due.
 
 use super::notifications::NotificationDelivery;
 use super::EventLoop;
@@ -6,80 +6,81 @@
 use crate::request_table::RequestTimer;
 use edge_routing::Micros;
 
-/// What has a deadline.
+/// What the event loop does when a timer is due.
 #[derive(Clone, Debug)]
 pub(super) enum TimerEvent {
-    /// The request table asked to be woken.
+    /// Pass a timer of the request table back to it.
     Request(RequestTimer),
-    /// An outgoing connection must be established by now.
+    /// Handle the connect timeout of an outgoing connection, unless it is established.
     ConnectTimeout(SlabKey),
-    /// A connection to a cache server is checked: cancelled ids that are over, answers or writes
-    /// that have stalled.
+    /// Check a connection to a cache server for cancelled attempts that can be reported as ended,
+    /// and for answers and writes that have stalled.
     CheckUpstream(SlabKey),
-    /// The event bus is connected to, or found silent.
+    /// Connect to the event bus, or reconnect if the connection has been silent for too long.
     CheckEventBus,
-    /// Consul is queried.
+    /// Send the next query to Consul.
     QueryConsul,
-    /// The response on a connection to Consul or to a peer CDN must have come by now.
+    /// Close a connection to Consul or to a peer CDN if its response has not arrived.
     ResponseTimeout(SlabKey),
-    /// A notification is sent to a peer CDN once more.
+    /// Send a notification to a peer CDN again.
     RetryNotification(Box<NotificationDelivery>),
-    /// The next request on an interconnect connection is read: it waited for the answer to the one
-    /// before.
+    /// Read the next request on an interconnect connection, which had to wait for the answer to the
+    /// previous request.
     ResumeInterconnectClient(SlabKey),
-    /// A purge is sent to the peer proxies once more.
+    /// Send a purge to the peer proxies again.
     RepeatPurgeGossip {
-        /// The purge as it goes on the wire.
+        /// The purge as encoded for the wire.
         datagram: String,
-        /// How often it is sent again after this.
+        /// Number of further transmissions after this one.
         repeats_left: u8,
     },
-    /// Purges that could not be written to the purge log are written again.
+    /// Write the purges to the purge log that could not be written before.
     RetryPurgeLog,
-    /// A client connection is checked: it may hold its place for nothing.
+    /// Check whether a client connection is past its inactivity deadline.
     CheckClient(SlabKey),
-    /// Attempts wait for a connection, which could not be opened for a reason of this machine's own.
+    /// Retry the parked attempts, for which no connection could be opened because this machine
+    /// lacked a resource.
     RetryParkedAttempts,
-    /// A connection could not be read, or the poller not be told what to watch it for. Both are tried
-    /// again.
+    /// Retry reading a connection and registering its interest with the poller, one of which has
+    /// failed.
     RetryConnection(SlabKey),
-    /// Accepting, which had paused, is tried again.
+    /// Resume accepting client connections after a pause.
     RetryAccept,
-    /// The configuration, which could not be read, is read again, until the given time.
+    /// Read the configuration again after it could not be read.
     RetryReload {
-        /// When it is given up.
+        /// Time after which a further failure is final, in microseconds.
         give_up_at: Micros,
     },
-    /// The grace period after SIGTERM is over.
+    /// End the grace period that began with SIGTERM.
     EndShutdownGrace,
-    /// The process may be killed right after this.
+    /// Answer all open requests, because the process may be killed right after this.
     ShutdownDeadline,
 }
 
 impl EventLoop {
-    /// Handles a timer that has come due.
+    /// Handles a timer that is due.
     pub(super) fn handle_timer(&mut self, now: Micros, event: TimerEvent) {
         match event {
             TimerEvent::Request(timer) => self.request_table.timer_fired(now, timer),
-            TimerEvent::ConnectTimeout(key) => self.close_unless_connected(now, key),
+            TimerEvent::ConnectTimeout(key) => self.handle_connect_timeout(now, key),
             TimerEvent::CheckUpstream(key) => self.check_upstream(now, key),
             TimerEvent::CheckEventBus => self.check_event_bus(now),
             TimerEvent::QueryConsul => self.query_consul(now),
-            TimerEvent::ResponseTimeout(key) => self.close_unanswered(now, key),
+            TimerEvent::ResponseTimeout(key) => self.handle_response_timeout(now, key),
             TimerEvent::RetryNotification(delivery) => self.send_notification(now, delivery),
             TimerEvent::ResumeInterconnectClient(key) => self.resume_interconnect_client(now, key),
             TimerEvent::RepeatPurgeGossip {
                 datagram,
                 repeats_left,
-            } => self.gossip_purge(now, datagram, repeats_left),
+            } => self.send_purge_gossip(now, datagram, repeats_left),
             TimerEvent::RetryPurgeLog => self.retry_purge_log(now),
             TimerEvent::CheckClient(key) => self.check_client(now, key),
             TimerEvent::RetryParkedAttempts => self.retry_parked_attempts(now),
             TimerEvent::RetryConnection(key) => self.retry_connection(now, key),
             TimerEvent::RetryAccept => self.retry_accept(now),
-            TimerEvent::RetryReload { give_up_at } => self.read_configuration(now, give_up_at),
+            TimerEvent::RetryReload { give_up_at } => self.retry_reload(now, give_up_at),
             TimerEvent::EndShutdownGrace => self.end_shutdown_grace(now),
-            TimerEvent::ShutdownDeadline => self.reach_shutdown_deadline(now),
+            TimerEvent::ShutdownDeadline => self.handle_shutdown_deadline(now),
         }
     }
 }
--- a/crates/proxy/src/event_loop/tokens.rs
+++ b/crates/proxy/src/event_loop/tokens.rs
@@ -1,15 +1,15 @@
-//! Poller tokens of the sockets that are no connections.
+//! Poller tokens of the sockets that are not in the connection table.
 //!
-//! A connection's token is its `SlabKey` as a number. These lie at the upper end, where no key of a
-//! bounded table reaches.
+//! The token of a connection is its `SlabKey` as a number. The tokens in this module lie at the
+//! upper end of the number range, which the keys of a table of bounded size never reach.
 
-/// The listener for FastCGI clients.
+/// Token of the listener for FastCGI clients.
 pub(super) const FASTCGI_LISTENER: u64 = u64::MAX;
-/// The receiving end of SIGTERM.
+/// Token of the receiving end of the pipe for SIGTERM.
 pub(super) const SIGTERM: u64 = u64::MAX - 1;
-/// The UDP socket for purges from peer proxies.
+/// Token of the UDP socket that receives purges from peer proxies.
 pub(super) const PURGE_GOSSIP: u64 = u64::MAX - 2;
-/// The listener for peer CDNs.
+/// Token of the listener for peer CDNs.
 pub(super) const INTERCONNECT_LISTENER: u64 = u64::MAX - 3;
-/// The receiving end of SIGHUP.
+/// Token of the receiving end of the pipe for SIGHUP.
 pub(super) const SIGHUP: u64 = u64::MAX - 4;
--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -1,5 +1,4 @@
-//! Attempts: which connection one takes, when a connection is opened for it, and how it is taken
-//! back.
+//! Attempts: chooses the connection for an attempt, opens connections, and cancels attempts.
 
 use crate::event_loop::close_reason::CloseReason;
 use crate::event_loop::connections::{ConnectError, ConnectionRole};
@@ -10,31 +9,39 @@
 use crate::upstream::UpstreamConnection;
 use edge_routing::{Micros, Outcome, ServerId};
 
-/// A connection that can take an attempt. The least one, in the order of the fields, is taken.
+/// A connection that can carry an attempt. Candidates are compared field by field, and the smallest
+/// one is chosen.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// False where an earlier attempt of the same request was cancelled on it.
-    is_new_to_request: bool,
+    /// False if an earlier attempt with the same request id was cancelled on the connection. Such a
+    /// connection is preferred, because `false` sorts first.
+    has_no_cancelled_attempt: bool,
     is_connecting: bool,
     attempts_in_flight: usize,
     key: SlabKey,
 }
 
 impl Candidate {
-    /// Whether the server may have closed the connection without its having been noticed yet.
+    /// Returns whether the server may have closed the connection without the proxy having noticed.
     fn may_be_closed(&self) -> bool {
         !self.is_connecting && self.attempts_in_flight == 0
     }
 }
 
 impl EventLoop {
-    /// Sends an attempt on the best connection to its server, or on a new one.
+    /// Sends an attempt on the best connection to its server, or on a new connection.
     pub(in crate::event_loop) fn send_attempt(&mut self, now: Micros, attempt: AttemptId) {
-        self.send_attempt_since(now, attempt, now);
+        self.send_attempt_first_tried_at(now, attempt, now);
     }
 
-    /// As `send_attempt`, for an attempt that was first tried at `since`.
-    pub(super) fn send_attempt_since(&mut self, now: Micros, attempt: AttemptId, since: Micros) {
+    /// Sends an attempt like `send_attempt`. `first_tried_at` is the time at which sending the
+    /// attempt was first tried.
+    pub(super) fn send_attempt_first_tried_at(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        first_tried_at: Micros,
+    ) {
         let candidate = self.choose_connection(now, attempt);
         let Some((_, spec)) = self.request_table.attempt_spec(attempt) else {
             return;
@@ -42,8 +49,8 @@
         let server = spec.server;
         let key = match candidate {
             Some(candidate) => {
-                if self.should_connect_ahead(server, candidate) {
-                    // The attempt has a connection, so that nothing depends on this one.
+                if self.should_open_spare_connection(server, candidate) {
+                    // A failure has no consequence, because the attempt already has a connection.
                     let _ = self.connect_upstream(now, server);
                 }
                 Ok(candidate.key)
@@ -53,9 +60,9 @@
         match key {
             Ok(key) => self.enqueue_attempt(now, attempt, key),
             Err(ConnectError::Local(_) | ConnectError::TableFull) => {
-                self.park_attempt(now, attempt, server, since);
+                self.park_attempt(now, attempt, server, first_tried_at);
             }
-            // Nothing was written, so the attempt has not run.
+            // Nothing was written, so the server cannot have run the attempt.
             Err(ConnectError::ServerGone | ConnectError::ServerFull) => {
                 self.request_table
                     .attempt_ended(now, attempt, Outcome::NotSent.into());
@@ -77,9 +84,11 @@
         self.update_poll_interest(now, key);
     }
 
-    /// The best connection for an attempt. Where nothing is in flight on it, the server may have
-    /// closed it by now: what is written to such a connection is lost, and nobody could tell
-    /// whether it ran. So it is read first.
+    /// Returns the best connection for an attempt, or `None` if no connection can carry it.
+    ///
+    /// A connection with nothing in flight is read first, because the server may have closed it. An
+    /// attempt that is written to a closed connection is lost, and the proxy could not determine
+    /// whether the attempt has run.
     fn choose_connection(&mut self, now: Micros, attempt: AttemptId) -> Option<Candidate> {
         loop {
             let candidate = self.best_connection(attempt)?;
@@ -105,23 +114,24 @@
             let attempts_in_flight =
                 upstream.load_if_available(request_id, &self.request_table, &self.limits)?;
             Some(Candidate {
-                is_new_to_request: !upstream.cancelled_recently(request_id),
+                has_no_cancelled_attempt: !upstream.cancelled_recently(request_id),
                 is_connecting: !transport.connected,
                 attempts_in_flight,
                 key: *key,
             })
         };
-        let keys = self.upstream_connections.of(spec.server);
+        let keys = self.upstream_connections.keys_of(spec.server);
         keys.iter().filter_map(candidate).min()
     }
 
-    /// Whether a further connection is opened although an attempt has one.
+    /// Returns whether to open a further connection to a server although the attempt already has
+    /// one.
     ///
-    /// One answer that can't be read ends everything in flight on its connection: the more
-    /// connections, the less is lost at once. The next one is opened ahead of its use, so that no
-    /// attempt waits for it.
-    fn should_connect_ahead(&self, server: ServerId, candidate: Candidate) -> bool {
-        let keys = self.upstream_connections.of(server);
+    /// An answer that cannot be parsed ends all attempts in flight on its connection, so with more
+    /// connections fewer attempts are lost at once. The next connection is opened before it is
+    /// needed, so that no attempt waits for it.
+    fn should_open_spare_connection(&self, server: ServerId, candidate: Candidate) -> bool {
+        let keys = self.upstream_connections.keys_of(server);
         let is_shared = candidate.attempts_in_flight >= self.limits.attempts_before_new_connection;
         let has_spare_slots = self.connections.free_slots() > self.limits.spare_connections;
         let is_connected = |key: &SlabKey| {
@@ -134,15 +144,19 @@
             && keys.iter().all(is_connected)
     }
 
-    /// Opens a connection for an attempt that found none with room. Where the server has as many as
-    /// it may, one that went unresponsive makes room: it may stay so for good without ever being
-    /// reported as broken.
+    /// Opens a connection for an attempt that no existing connection can carry. If the server has
+    /// the maximum number of connections, an unresponsive one is closed to make room, because it
+    /// may stay unresponsive forever without being reported as broken.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no connection can be opened or none can be replaced.
     fn connect_for_attempt(
         &mut self,
         now: Micros,
         server: ServerId,
     ) -> Result<SlabKey, ConnectError> {
-        let keys = self.upstream_connections.of(server);
+        let keys = self.upstream_connections.keys_of(server);
         if keys.len() >= self.limits.connections_per_server {
             let is_unresponsive = |key: &SlabKey| {
                 let upstream = self.connections.upstream(*key);
@@ -150,12 +164,17 @@
             };
             let unresponsive = keys.iter().copied().find(is_unresponsive);
             let unresponsive = unresponsive.ok_or(ConnectError::ServerFull)?;
-            self.close(now, unresponsive, CloseReason::Unresponsive);
+            self.close(now, unresponsive, CloseReason::UpstreamUnresponsive);
         }
         self.connect_upstream(now, server)
     }
 
-    /// Begins a connection to a cache server.
+    /// Opens a connection to a cache server without waiting until it is established.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the table is full, the server has left the endpoint list, or the
+    /// connection cannot be opened.
     fn connect_upstream(&mut self, now: Micros, server: ServerId) -> Result<SlabKey, ConnectError> {
         if !self.has_free_connection_slot() {
             return Err(ConnectError::TableFull);
@@ -168,7 +187,7 @@
         Ok(key)
     }
 
-    /// Cancels an attempt, wherever it is queued or in flight.
+    /// Cancels an attempt, whether it is parked, queued or in flight.
     pub(in crate::event_loop) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -178,7 +197,7 @@
         if self.cancel_parked_attempt(now, attempt) {
             return;
         }
-        for key in self.upstream_connections.of(server).to_vec() {
+        for key in self.upstream_connections.keys_of(server).to_vec() {
             let Some((transport, upstream)) = self.connections.upstream_mut(key) else {
                 continue;
             };
@@ -201,7 +220,7 @@
         }
     }
 
-    /// Takes back an attempt of which nothing is written yet.
+    /// Withdraws an attempt of which nothing is written yet. An attempt in flight is not affected.
     pub(in crate::event_loop) fn dequeue_attempt(
         &mut self,
         now: Micros,
@@ -211,7 +230,7 @@
         if self.cancel_parked_attempt(now, attempt) {
             return;
         }
-        for key in self.upstream_connections.of(server).to_vec() {
+        for key in self.upstream_connections.keys_of(server).to_vec() {
             let Some((transport, upstream)) = self.connections.upstream_mut(key) else {
                 continue;
             };
@@ -222,11 +241,11 @@
         }
     }
 
-    /// Takes back everything not written yet that would go to a server that drains or is gone, or
-    /// that another server would fill from it.
+    /// Withdraws all unwritten attempts that would be sent to a server that is draining or gone, or
+    /// for which another server would fill from it.
     pub(in crate::event_loop) fn drain_server(&mut self, now: Micros, server: ServerId) {
         self.drain_parked_attempts(now, server);
-        for key in self.upstream_connections.all() {
+        for key in self.upstream_connections.all_keys() {
             let Some((transport, upstream)) = self.connections.upstream_mut(key) else {
                 continue;
             };
@@ -237,15 +256,16 @@
             let is_drained = connected_to == server && upstream.is_idle();
             self.report_upstream_events(now, connected_to, events);
             if !is_usable || is_drained {
-                // The server's address may be given to another one.
+                // The address of the server may be reassigned to another server.
                 self.close(now, key, CloseReason::ServerDrained);
             }
         }
     }
 
-    /// Asks a server for its load, on the oldest connection to it.
+    /// Sends a probe for the load of a server, on the oldest connection to it. Without a usable
+    /// connection the probe ends as failed.
     pub(in crate::event_loop) fn probe(&mut self, now: Micros, server: ServerId) {
-        let key = self.upstream_connections.of(server).first().copied();
+        let key = self.upstream_connections.keys_of(server).first().copied();
         let probed = key.filter(|key| {
             self.connections
                 .upstream_mut(*key)
@@ -253,7 +273,7 @@
         });
         match probed {
             Some(key) => {
-                // A connection that can't be written shows as broken by itself.
+                // The poller reports a connection that cannot be written as broken.
                 let _ = self.write(now, key);
             }
             None => {
--- a/crates/proxy/src/event_loop/upstreams/mod.rs
+++ b/crates/proxy/src/event_loop/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers: reading and writing them, and how results reach the request table.
+//! Connections to cache servers: reads and writes them, and reports results to the request table.
 
 mod attempts;
 mod parked;
@@ -13,7 +13,7 @@
 use parked::ParkedAttempts;
 use std::collections::BTreeMap;
 
-/// The open connections to each cache server, oldest first.
+/// The open connections to each cache server, oldest first, and the parked attempts.
 #[derive(Default)]
 pub(super) struct UpstreamConnections {
     by_server: BTreeMap<ServerId, Vec<SlabKey>>,
@@ -21,11 +21,11 @@
 }
 
 impl UpstreamConnections {
-    fn of(&self, server: ServerId) -> &[SlabKey] {
+    fn keys_of(&self, server: ServerId) -> &[SlabKey] {
         self.by_server.get(&server).map_or(&[], Vec::as_slice)
     }
 
-    fn all(&self) -> Vec<SlabKey> {
+    fn all_keys(&self) -> Vec<SlabKey> {
         self.by_server.values().flatten().copied().collect()
     }
 
@@ -45,7 +45,12 @@
 }
 
 impl EventLoop {
-    /// Handles what a cache server has sent.
+    /// Handles the buffered input from a cache server.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol. Results that arrived before the error
+    /// are reported.
     pub(in crate::event_loop) fn read_upstream(
         &mut self,
         now: Micros,
@@ -58,7 +63,8 @@
         let mut events = Vec::new();
         let result = upstream.read(now, transport, &self.request_table, &mut events);
         if events.iter().any(UpstreamEvent::is_not_final) {
-            // The connection remembers such an attempt for a while; the check forgets it.
+            // The connection remembers such an attempt for `stream_memory_us`. The check removes it
+            // after that time.
             self.timers.set(
                 now + self.limits.stream_memory_us + 1,
                 TimerEvent::CheckUpstream(key),
@@ -68,7 +74,7 @@
         result
     }
 
-    /// Reads what a server had sent before its connection broke: those answers still count.
+    /// Reads the answers that a server sent before its connection broke. They are still used.
     pub(in crate::event_loop) fn read_remaining_answers(&mut self, now: Micros, key: SlabKey) {
         for _ in 0..self.limits.reads_after_close {
             let is_readable =
@@ -81,17 +87,19 @@
             else {
                 return;
             };
-            if transport.read(false) != IoProgress::Advanced || self.read(now, key).is_err() {
+            if transport.read(false) != IoProgress::Advanced || self.handle_input(now, key).is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Writes queued attempts and sets the timers that follow.
+    /// Writes queued attempts, and sets the timers for checking the connection again.
     ///
     /// # Errors
     ///
-    /// The connection is to be closed, for this reason.
+    /// Returns the reason for closing the connection if it is unusable, or if its server is
+    /// draining or gone and no answer is pending.
     pub(in crate::event_loop) fn flush_upstream(
         &mut self,
         now: Micros,
@@ -109,20 +117,21 @@
             &self.limits,
             &mut events,
         );
-        let cancelled_over_at = upstream.next_cancellation_report(&self.limits);
-        let answer_stalls_at = upstream
+        let cancellation_report_at = upstream.next_cancellation_report(&self.limits);
+        let answer_timeout_at = upstream
             .partial_answer_deadline(&self.limits)
             .filter(|_| is_usable);
         let has_output = transport.connected && !transport.output.is_empty();
-        let write_stalls_at = has_output.then_some(now + self.limits.server_write_timeout_us);
-        for at in [cancelled_over_at, answer_stalls_at, write_stalls_at]
+        let write_timeout_at = has_output.then_some(now + self.limits.server_write_timeout_us);
+        for at in [cancellation_report_at, answer_timeout_at, write_timeout_at]
             .into_iter()
             .flatten()
         {
             self.timers.set(at, TimerEvent::CheckUpstream(key));
         }
-        // A server that drains or is gone gets nothing new: once all that it owed has come, its
-        // connections are of no use, and where its machine has vanished nobody else would end them.
+        // A server that is draining or gone gets no new attempts. Its connections are closed once
+        // all pending answers have arrived. If its machine has vanished, nothing else would close
+        // them.
         let is_drained = upstream.is_idle() && !self.request_table.accepts_work(server);
         self.report_upstream_events(now, server, events);
         if !is_usable {
@@ -134,7 +143,7 @@
         Ok(())
     }
 
-    /// Checks a connection at the time of one of its timers.
+    /// Checks a connection when one of its timers is due, and closes it if it is of no further use.
     pub(in crate::event_loop) fn check_upstream(&mut self, now: Micros, key: SlabKey) {
         if let Err(reason) = self.flush_upstream(now, key) {
             self.close(now, key, reason);
@@ -145,9 +154,10 @@
         }
     }
 
-    /// Reports what was in flight on a connection that is no more in the table. What waited for a
-    /// connection that failed by this machine's fault waits for another one.
-    pub(in crate::event_loop) fn upstream_closed(
+    /// Reports the end of the attempts on a connection that was removed from the table. If the
+    /// connection failed because this machine lacked a resource, its queued attempts are parked
+    /// until another connection can be opened.
+    pub(in crate::event_loop) fn handle_upstream_closed(
         &mut self,
         now: Micros,
         key: SlabKey,
@@ -167,7 +177,7 @@
         self.report_upstream_events(now, server, events);
     }
 
-    /// Tells the request table what became of attempts and probes.
+    /// Reports the results of attempts and probes to the request table.
     fn report_upstream_events(
         &mut self,
         now: Micros,
--- a/crates/proxy/src/event_loop/upstreams/parked.rs
+++ b/crates/proxy/src/event_loop/upstreams/parked.rs
@@ -1,21 +1,22 @@
-//! Attempts that wait because no connection could be opened for a reason of this machine's own: no
-//! descriptor, memory, port or route was left for the moment. That says nothing of the server.
+//! Parked attempts, which wait because no connection could be opened for them. The cause is on this
+//! machine: the connection table is full, or the machine temporarily lacks a file descriptor,
+//! memory, a port or a route. It does not indicate a fault of the server.
 
 use crate::event_loop::timer::TimerEvent;
 use crate::event_loop::EventLoop;
 use crate::request_table::AttemptId;
 use edge_routing::{Micros, Outcome, ServerId};
 
-/// An attempt without a connection.
+/// An attempt that waits for a connection.
 #[derive(Clone, Copy, Debug)]
 struct ParkedAttempt {
     attempt: AttemptId,
     server: ServerId,
-    /// When it was first tried.
-    since: Micros,
+    /// Time at which sending the attempt was first tried, in microseconds.
+    first_tried_at: Micros,
 }
 
-/// The attempts that wait, oldest first. There are no more than requests.
+/// The parked attempts, oldest first. Their number is bounded by the number of open requests.
 #[derive(Default)]
 pub(super) struct ParkedAttempts {
     attempts: Vec<ParkedAttempt>,
@@ -23,7 +24,7 @@
 }
 
 impl ParkedAttempts {
-    /// Takes an attempt out, if it is among these.
+    /// Removes an attempt. Returns whether it was parked.
     fn remove(&mut self, attempt: AttemptId) -> bool {
         let before = self.attempts.len();
         self.attempts.retain(|parked| parked.attempt != attempt);
@@ -32,19 +33,20 @@
 }
 
 impl EventLoop {
-    /// Has an attempt wait for a connection. It began to wait at `since`.
+    /// Parks an attempt until a connection can be opened for it. `first_tried_at` is the time at
+    /// which sending it was first tried.
     pub(super) fn park_attempt(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         server: ServerId,
-        since: Micros,
+        first_tried_at: Micros,
     ) {
         let parked = &mut self.upstream_connections.parked;
         parked.attempts.push(ParkedAttempt {
             attempt,
             server,
-            since,
+            first_tried_at,
         });
         if !std::mem::replace(&mut parked.retry_scheduled, true) {
             self.timers.set(
@@ -54,12 +56,13 @@
         }
     }
 
-    /// Tries the attempts that wait once more. One that has waited for too long ends as never sent.
+    /// Tries to send the parked attempts again. An attempt that has been parked for longer than
+    /// `Limits::local_failure_patience_us` ends as not sent.
     pub(in crate::event_loop) fn retry_parked_attempts(&mut self, now: Micros) {
         self.upstream_connections.parked.retry_scheduled = false;
         for parked in std::mem::take(&mut self.upstream_connections.parked.attempts) {
-            if now < parked.since + self.limits.local_failure_patience_us {
-                self.send_attempt_since(now, parked.attempt, parked.since);
+            if now < parked.first_tried_at + self.limits.local_failure_patience_us {
+                self.send_attempt_first_tried_at(now, parked.attempt, parked.first_tried_at);
             } else {
                 self.request_table
                     .attempt_ended(now, parked.attempt, Outcome::NotSent.into());
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Takes back an attempt that waits. False: it is not among these.
+    /// Cancels an attempt if it is parked. Returns whether it was.
     pub(super) fn cancel_parked_attempt(&mut self, now: Micros, attempt: AttemptId) -> bool {
         let is_parked = self.upstream_connections.parked.remove(attempt);
         if is_parked {
@@ -77,7 +80,8 @@
         is_parked
     }
 
-    /// Takes back the attempts that wait for a server that drains or is gone, or for a fill from it.
+    /// Withdraws the parked attempts that would be sent to a server that is draining or gone, or
+    /// for which another server would fill from it.
     pub(super) fn drain_parked_attempts(&mut self, now: Micros, server: ServerId) {
         let is_filled_from = |attempt: AttemptId| {
             let fill = self
@@ -86,7 +90,7 @@
                 .and_then(|(_, spec)| spec.fill);
             fill.is_some_and(|fill| fill.source == server)
         };
-        let concerned: Vec<AttemptId> = self
+        let withdrawn: Vec<AttemptId> = self
             .upstream_connections
             .parked
             .attempts
@@ -94,7 +98,7 @@
             .filter(|parked| parked.server == server || is_filled_from(parked.attempt))
             .map(|parked| parked.attempt)
             .collect();
-        for attempt in concerned {
+        for attempt in withdrawn {
             self.upstream_connections.parked.remove(attempt);
             self.request_table
                 .attempt_ended(now, attempt, Outcome::NotSent.into());
--- a/crates/testkit/src/proxy_fixture.rs
+++ b/crates/testkit/src/proxy_fixture.rs
@@ -304,10 +304,10 @@
         prepare_thread();
         let mut event_loop = EventLoop::start(config, Box::new(reload_config)).unwrap();
         let addresses = (
-            event_loop.address().unwrap(),
+            event_loop.fastcgi_address().unwrap(),
             event_loop.interconnect_address().unwrap(),
         );
-        let control = event_loop.control().unwrap();
+        let control = event_loop.control_handle().unwrap();
         sender.send((addresses, control)).unwrap();
         event_loop.run()
     });
