--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -92,8 +92,8 @@
         let handled = interconnect
             .frontend
             .handle(now, is_ready, purge_capacity, message);
-        // The effects are applied before the reply, because a peer CDN may be sent an acceptance
-        // only for what will survive a restart.
+        // The effects are applied before the reply, because the proxy may accept a purge from a
+        // peer CDN only if the purge will survive a restart.
         let mut all_durable = true;
         for effect in handled.effects {
             all_durable &= self.apply_effect(now, effect);
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Applies an effect of a request besides its response. Returns whether the effect will survive
-    /// a restart of the proxy, as far as it has to.
+    /// Applies an effect that a request has besides its response. Returns false if the effect is a
+    /// purge that is in force but could not be written to the purge log.
     fn apply_effect(&mut self, now: Micros, effect: Effect) -> bool {
         match effect {
             Effect::Purge(object, group) => {
--- a/crates/proxy/src/event_loop/notifications/tests.rs
+++ b/crates/proxy/src/event_loop/notifications/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_notification_without_a_response_is_not_delivered() {
+fn a_notification_has_a_response_only_after_a_complete_response_head() {
     let notification = Notification {
         address: ([127, 0, 0, 1], 9).into(),
         path: "/t".into(),
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -92,7 +92,8 @@
 
     /// Applies a purge for as long as the proxy runs, and stores it across restarts. Such a purge
     /// is permanent because no other component enforces it. Returns false if the purge is in force
-    /// but not yet written to the disk.
+    /// but not yet written to the disk. Returns true also if the request table has no room for the
+    /// purge, so that it is not in force.
     pub(super) fn purge_permanently(&mut self, now: Micros, purge: Purge) -> bool {
         // The purge is dated `now`, because its time stamp comes from a clock that may be wrong.
         let (object, group) = (purge.object.clone(), purge.group);
