--- a/crates/soak/src/bad_client.rs
+++ b/crates/soak/src/bad_client.rs
@@ -19,7 +19,11 @@
 const PAUSE_BETWEEN_CLIENTS: Duration = Duration::from_millis(20);
 
 /// Runs misbehaving clients one after the other while `is_active` returns true.
-pub async fn play(address: SocketAddr, mut random: fastrand::Rng, is_active: impl Fn() -> bool) {
+pub async fn run_clients(
+    address: SocketAddr,
+    mut random: fastrand::Rng,
+    is_active: impl Fn() -> bool,
+) {
     while is_active() {
         let misbehavior = random.u32(0..6);
         // The result is ignored: only ordinary clients are judged.
--- a/crates/soak/src/cache_server.rs
+++ b/crates/soak/src/cache_server.rs
@@ -35,7 +35,7 @@
 /// answer.
 const BODY_PADDING_BYTES: usize = 512;
 
-struct State {
+struct ServerState {
     behavior: Behavior,
     random: fastrand::Rng,
     /// When the stored copy of each object was created, in Unix milliseconds.
@@ -48,7 +48,7 @@
 pub struct CacheServer {
     address_index: usize,
     run_state: SharedRunState,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<ServerState>>,
 }
 
 /// A fetch command from a proxy.
@@ -72,7 +72,7 @@
         let server = CacheServer {
             address_index,
             run_state: run_state.clone(),
-            state: Rc::new(RefCell::new(State {
+            state: Rc::new(RefCell::new(ServerState {
                 behavior: Behavior::Normal,
                 random: fastrand::Rng::with_seed(seed ^ (address_index as u64 + 1) << 32),
                 copies: HashMap::new(),
@@ -120,13 +120,13 @@
                 let (taken, array) = arrays.parse(input).map_err(io::Error::other)?;
                 input = &input[taken..];
                 if let Some(array) = array {
-                    self.handle(&array, &writer);
+                    self.handle_command(&array, &writer);
                 }
             }
         }
     }
 
-    fn handle(&self, array: &[Vec<u8>], writer: &Rc<Mutex<OwnedWriteHalf>>) {
+    fn handle_command(&self, array: &[Vec<u8>], writer: &Rc<Mutex<OwnedWriteHalf>>) {
         let text = |index: usize| {
             let bytes = array.get(index).map_or(&[][..], Vec::as_slice);
             String::from_utf8_lossy(bytes).into_owned()
@@ -175,8 +175,8 @@
     fn record_attempt(&self, fetch: &Fetch, wait_ms: u64, was_started: bool) {
         let mut run_state = self.run_state.borrow_mut();
         let record = AttemptRecord {
-            request: fetch.id.clone(),
-            server: run_state.server_at_address(self.address_index),
+            request_id: fetch.id.clone(),
+            server_index: run_state.server_at_address(self.address_index),
             fill_source: fetch.fill_source.clone(),
             arrived_ms: run_state.now_ms(),
             wait_ms,
--- a/crates/soak/src/campaign.rs
+++ b/crates/soak/src/campaign.rs
@@ -78,8 +78,8 @@
     });
     let totals = totals.into_inner().unwrap_or_else(PoisonError::into_inner);
     totals.print(started_at.elapsed());
-    let all_played = totals.seeds == seed_count;
-    if totals.failed_seeds.is_empty() && all_played {
+    let all_seeds_run = totals.seeds == seed_count;
+    if totals.failed_seeds.is_empty() && all_seeds_run {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -111,10 +111,10 @@
 
 fn run_seed(seed: u64, slot: u8, options: &CampaignOptions) -> io::Result<SeedResult> {
     let started_at = Instant::now();
-    let base = options.logs.clone().unwrap_or_else(std::env::temp_dir);
-    let folder = base.join(format!("edge-soak-{}-{seed}", std::process::id()));
+    let parent_folder = options.logs.clone().unwrap_or_else(std::env::temp_dir);
+    let folder = parent_folder.join(format!("edge-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let result = play_seed(seed, slot, &folder, started_at);
+    let result = run_and_judge_seed(seed, slot, &folder, started_at);
     let has_no_violations = result
         .as_ref()
         .is_ok_and(|result| result.violations.is_empty());
@@ -124,13 +124,18 @@
     result
 }
 
-fn play_seed(seed: u64, slot: u8, folder: &Path, started_at: Instant) -> io::Result<SeedResult> {
+fn run_and_judge_seed(
+    seed: u64,
+    slot: u8,
+    folder: &Path,
+    started_at: Instant,
+) -> io::Result<SeedResult> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let tasks = tokio::task::LocalSet::new();
     let plan = Plan::from_seed(seed);
-    let mut run_state = tasks.block_on(&runtime, director::play(plan, slot, folder))?;
+    let mut run_state = tasks.block_on(&runtime, director::run_plan(plan, slot, folder))?;
     drop(tasks);
     runtime.shutdown_timeout(Duration::from_secs(1));
     let log_findings = log_scan::scan(folder)?;
--- a/crates/soak/src/client/mod.rs
+++ b/crates/soak/src/client/mod.rs
@@ -59,7 +59,7 @@
     /// Whether most requests are cancelled before the answer.
     pub cancels_most_requests: Cell<bool>,
     /// Whether the run is over.
-    pub stopped: Cell<bool>,
+    pub run_is_over: Cell<bool>,
 }
 
 impl Default for ClientControl {
@@ -67,7 +67,7 @@
         ClientControl {
             phase: Cell::new(ProxyPhase::Down),
             cancels_most_requests: Cell::new(false),
-            stopped: Cell::new(false),
+            run_is_over: Cell::new(false),
         }
     }
 }
@@ -122,7 +122,7 @@
 
     /// Sends requests until the run is over.
     pub async fn run(self: Rc<Self>) {
-        while !self.control.stopped.get() {
+        while !self.control.run_is_over.get() {
             let interval_ms =
                 -MEAN_REQUEST_INTERVAL_MS * (1.0 - self.random.borrow_mut().f64()).ln();
             sleep(Duration::from_millis(interval_ms as u64)).await;
@@ -199,7 +199,7 @@
     async fn send_request(self: Rc<Self>, planned_request: PlannedRequest) {
         for attempt in 0..2 {
             let Ok(connection) = self
-                .connection(planned_request.on_new_connection || attempt > 0)
+                .pick_connection(planned_request.on_new_connection || attempt > 0)
                 .await
             else {
                 return;
@@ -251,7 +251,7 @@
 
     /// Returns an open connection with fewer than 4 requests, or a new connection. Returns an error
     /// if connecting fails or takes longer than [`CONNECT_TIMEOUT`].
-    async fn connection(&self, is_new_required: bool) -> io::Result<Rc<Connection>> {
+    async fn pick_connection(&self, is_new_required: bool) -> io::Result<Rc<Connection>> {
         self.connections
             .borrow_mut()
             .retain(|connection| !connection.closed.get());
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -73,7 +73,7 @@
 /// Runs a plan in a slot of the campaign and returns the final state of the run. The files of the
 /// run are written to `folder`. Returns an error if an address can't be bound or a process can't be
 /// started.
-pub async fn play(plan: Plan, slot: u8, folder: &Path) -> io::Result<RunState> {
+pub async fn run_plan(plan: Plan, slot: u8, folder: &Path) -> io::Result<RunState> {
     let cluster = Cluster::start(plan, slot, folder).await?;
     cluster.start_proxies().await?;
     let plan = cluster.run_state.borrow().plan.clone();
@@ -236,7 +236,7 @@
                 let seed = self.run_state.borrow().plan.seed ^ fault.from_ms;
                 let address = deployment::proxy_address(slot, proxy);
                 let is_active = move || run_state.borrow().now_ms() < fault.until_ms;
-                bad_client::play(address, fastrand::Rng::with_seed(seed), is_active).await;
+                bad_client::run_clients(address, fastrand::Rng::with_seed(seed), is_active).await;
             }
             FaultKind::ClientsCancel { proxy } => {
                 self.proxies[proxy].control.cancels_most_requests.set(true);
@@ -321,7 +321,7 @@
 
     /// Starts a process for a proxy whose previous process has ended, unless the run is over.
     async fn start_next_process(&self, proxy: &Proxy, process: &mut ProxyProcess) {
-        if proxy.control.stopped.get() {
+        if proxy.control.run_is_over.get() {
             return;
         }
         if let Err(error) = process.start(proxy.bus.is_second_in_use()) {
@@ -450,7 +450,14 @@
     fn is_abort_planned(&self, proxy: usize) -> bool {
         let run_state = self.run_state.borrow();
         run_state.plan.faults.iter().any(|fault| {
-            matches!(fault.kind, FaultKind::SystemCallFault { proxy: faulty_proxy, effect: Effect::ShortThenAbort(_), .. } if faulty_proxy == proxy)
+            matches!(
+                fault.kind,
+                FaultKind::SystemCallFault {
+                    proxy: faulty_proxy,
+                    effect: Effect::ShortThenAbort(_),
+                    ..
+                } if faulty_proxy == proxy
+            )
         })
     }
 
@@ -517,7 +524,7 @@
         for proxy in self.proxies.iter().cloned() {
             let is_abort_planned = self.is_abort_planned(proxy.index);
             shutdowns.push(tokio::task::spawn_local(async move {
-                proxy.control.stopped.set(true);
+                proxy.control.run_is_over.set(true);
                 let mut process = proxy.process.lock().await;
                 proxy
                     .shut_down_process(&mut process, is_abort_planned)
--- a/crates/soak/src/event_bus.rs
+++ b/crates/soak/src/event_bus.rs
@@ -94,7 +94,7 @@
         if *mode.borrow_and_update() == BusMode::Down || *in_use.borrow_and_update() != is_second {
             return socket.set_zero_linger();
         }
-        let subscription = self.subscription(socket);
+        let subscription = self.serve_subscription(socket);
         tokio::pin!(subscription);
         loop {
             tokio::select! {
@@ -123,7 +123,7 @@
         }
     }
 
-    async fn subscription(&self, socket: TcpStream) -> io::Result<()> {
+    async fn serve_subscription(&self, socket: TcpStream) -> io::Result<()> {
         socket.set_nodelay(true)?;
         let (reader, mut writer) = socket.into_split();
         let mut mode = self.mode.subscribe();
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -33,7 +33,7 @@
 pub struct Link {
     mode: Rc<watch::Sender<LinkMode>>,
     /// A counter whose change makes every open connection reset.
-    resets: Rc<watch::Sender<u64>>,
+    reset_count: Rc<watch::Sender<u64>>,
     failed_connections: Rc<RefCell<u64>>,
 }
 
@@ -43,13 +43,13 @@
         let listener = crate::listen(listen).await?;
         let link = Link {
             mode: Rc::new(watch::Sender::new(LinkMode::Open)),
-            resets: Rc::new(watch::Sender::new(0)),
+            reset_count: Rc::new(watch::Sender::new(0)),
             failed_connections: Rc::default(),
         };
-        let serving = link.clone();
+        let link_task = link.clone();
         tokio::task::spawn_local(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                let link = serving.clone();
+                let link = link_task.clone();
                 tokio::task::spawn_local(async move {
                     if link.forward_connection(socket, server).await.is_err() {
                         *link.failed_connections.borrow_mut() += 1;
@@ -67,7 +67,8 @@
 
     /// Resets every open connection.
     pub fn reset_connections(&self) {
-        self.resets.send_modify(|resets| *resets += 1);
+        self.reset_count
+            .send_modify(|reset_count| *reset_count += 1);
     }
 
     async fn forward_connection(&self, client: TcpStream, server: SocketAddr) -> io::Result<()> {
@@ -76,8 +77,8 @@
             return client.set_zero_linger();
         }
         let is_serving = |mode: &LinkMode| *mode != LinkMode::Stalled;
-        let mut resets = self.resets.subscribe();
-        resets.mark_unchanged();
+        let mut reset_count = self.reset_count.subscribe();
+        reset_count.mark_unchanged();
         if mode.wait_for(is_serving).await.is_err() {
             return Ok(());
         }
@@ -90,7 +91,7 @@
         let answers = forward_bytes(server_reader, client_writer, self.mode.subscribe());
         tokio::select! {
             _ = async { tokio::join!(requests, answers) } => Ok(()),
-            _ = resets.changed() => Ok(()),
+            _ = reset_count.changed() => Ok(()),
         }
     }
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -47,7 +47,7 @@
     let mut attempts_by_request: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &run_state.attempts {
         attempts_by_request
-            .entry(&attempt.request)
+            .entry(&attempt.request_id)
             .or_default()
             .push(attempt);
     }
@@ -100,14 +100,14 @@
             }
         }
         for attempt in attempts {
-            if self.is_delayed(request.proxy, attempt) {
+            if self.may_be_delayed(request.proxy, attempt) {
                 continue;
             }
             self.judge_attempt(request, attempt, &mut report);
         }
         let last_attempt = attempts
             .last()
-            .filter(|last| !self.is_delayed(request.proxy, last));
+            .filter(|last| !self.may_be_delayed(request.proxy, last));
         if let (Some(created_unix_ms), Some(last_attempt)) =
             (request.copy_created_unix_ms, last_attempt)
         {
@@ -178,7 +178,7 @@
                 continue;
             };
             let is_fill_source = attempt.fill_source.as_deref() == Some(server.uid.as_str());
-            if attempt.server != index && !is_fill_source {
+            if attempt.server_index != index && !is_fill_source {
                 continue;
             }
             let delivery_ms = self.delivery_ms(request.proxy, event_number, withdrawn_ms);
@@ -224,11 +224,11 @@
             }
         }
         for purge in &self.run_state.interconnect_purges {
-            let in_force =
+            let is_in_effect =
                 last_attempt.arrived_ms > purge.acknowledged_ms + INTERCONNECT_PURGE_GRACE_MS;
             let is_purge_target = purge.proxy == request.proxy && purge.object == request.object;
             if is_purge_target
-                && in_force
+                && is_in_effect
                 && created_unix_ms + CLOCK_ROUNDING_MS < purge.sent_unix_ms
             {
                 let detail = format!(
@@ -251,8 +251,8 @@
     }
 
     /// Returns whether an attempt may have been held back between the proxy and the server.
-    fn is_delayed(&self, proxy: usize, attempt: &AttemptRecord) -> bool {
-        let address_index = self.run_state.servers[attempt.server].address_index;
+    fn may_be_delayed(&self, proxy: usize, attempt: &AttemptRecord) -> bool {
+        let address_index = self.run_state.servers[attempt.server_index].address_index;
         let is_active_at_arrival = |fault: &PlannedFault| {
             fault.from_ms <= attempt.arrived_ms
                 && attempt.arrived_ms <= fault.until_ms + DELAYED_BYTES_MS
@@ -287,7 +287,7 @@
                 .run_state
                 .attempts
                 .iter()
-                .filter(|attempt| attempt.server == index && attempt.arrived_ms >= started_ms)
+                .filter(|attempt| attempt.server_index == index && attempt.arrived_ms >= started_ms)
                 .map(|attempt| ServerCall {
                     arrived_ms: attempt.arrived_ms,
                     proxy_knew_start: self.knew_of_start(attempt, event_number, started_ms),
@@ -306,7 +306,7 @@
     }
 
     fn knew_of_start(&self, attempt: &AttemptRecord, event_number: usize, started_ms: u64) -> bool {
-        let request = self.run_state.requests.get(&attempt.request);
+        let request = self.run_state.requests.get(&attempt.request_id);
         request.is_some_and(|request| {
             self.delivery_ms(request.proxy, event_number, started_ms) <= attempt.arrived_ms
         })
@@ -330,10 +330,10 @@
                 continue;
             }
             requests.sort_by_key(|(_, request)| request.sent_ms);
-            let (id, first) = requests[0];
+            let (id, first_request) = requests[0];
             violations.push(Violation {
                 rule: Rule::Recovery,
-                at_ms: first.sent_ms,
+                at_ms: first_request.sent_ms,
                 proxy: Some(proxy),
                 request: Some(id.clone()),
                 detail: format!(
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -105,9 +105,9 @@
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
     /// The id of the request.
-    pub request: String,
+    pub request_id: String,
     /// The server, as an index into [`RunState::servers`].
-    pub server: usize,
+    pub server_index: usize,
     /// The id of the fill source, if the attempt names one.
     pub fill_source: Option<String>,
     /// When the attempt arrived at the server, in milliseconds of the run.
