--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -56,7 +56,7 @@
     control: Rc<ClientControl>,
     clients: Rc<Clients>,
     bus: EventBus,
-    /// When the proxy last started or was told of a new bus address, in milliseconds of the run.
+    /// When the proxy last started or got a new bus address, in milliseconds of the run.
     subscribed_since_ms: RefCell<u64>,
 }
 
