--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -227,13 +227,13 @@
     /// clock.
     fn convert_start_times(&mut self, now: Micros, entries: &mut [ListedServer]) {
         let mut shift_us = 0;
-        for started in entries.iter().filter_map(|entry| entry.endpoint.started) {
+        for started in entries.iter().filter_map(|entry| entry.endpoint.started_at) {
             shift_us += self.reference_time.event_arrived(now, started);
         }
         self.report_time_shift(now, shift_us);
         for entry in entries {
-            let started = entry.endpoint.started;
-            entry.endpoint.started = started.map(|at| self.reference_time.to_local(at));
+            let started = entry.endpoint.started_at;
+            entry.endpoint.started_at = started.map(|at| self.reference_time.to_local(at));
         }
     }
 
@@ -245,7 +245,7 @@
                 "reference time is {by_us} us further ahead of the local clock than known before; \
                  moving earlier purge and server start times back by that amount"
             );
-            self.handle_event(now, Event::TimesMovedBack { by_us });
+            self.handle_event(now, Event::TimestampsMovedEarlier { by_us });
         }
     }
 
