--- a/crates/proxy/src/upstream/read.rs
+++ b/crates/proxy/src/upstream/read.rs
@@ -92,8 +92,9 @@
                 unreported: None, ..
             })
             | None => log::debug!(
-    "cache server #{:016x} answered request {id}, which is not open; ignoring the answer",
-    self.server
+                "cache server #{:016x} answered request {id:?}, which is not open; \
+                 ignoring the answer",
+                self.server
             ),
         }
     }
