--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -250,7 +250,7 @@
     value: Option<WholeNumber>,
     default: u64,
 ) -> Result<usize, ConfigError> {
-    usize::try_from(WholeNumber::or(value, default))
+    usize::try_from(WholeNumber::value_or(value, default))
         .ok()
         .filter(|value| *value > 0)
         .ok_or_else(|| ConfigError::Invalid {
@@ -270,7 +270,7 @@
         })
         .collect::<Result<_, _>>()?;
     Ok(KnownEvents {
-        last_offset: WholeNumber::or(document.offset, 0),
+        last_offset: WholeNumber::value_or(document.offset, 0),
         events,
     })
 }
--- a/crates/proxy/src/discovery/consul.rs
+++ b/crates/proxy/src/discovery/consul.rs
@@ -187,7 +187,7 @@
         let items: Vec<Tolerant<Object<CatalogueInstance>>> = read(value)?;
         let registered: BTreeSet<String> = items
             .into_iter()
-            .filter_map(Tolerant::valid)
+            .filter_map(Tolerant::into_valid)
             .map(|Object(instance)| instance.id)
             .collect();
         self.next_query = Query::Health;
@@ -267,9 +267,9 @@
         };
         let host = service
             .address
-            .and_then(Tolerant::valid)
+            .and_then(Tolerant::into_valid)
             .filter(|address| !address.is_empty())
-            .or(self.node.0.address.and_then(Tolerant::valid))
+            .or(self.node.0.address.and_then(Tolerant::into_valid))
             .ok_or_else(|| invalid("Address"))?;
         let port = service.port.ok_or_else(|| invalid("Port"))?.0;
         let address = format!("{host}:{port}")
--- a/crates/proxy/src/discovery/endpoint_entry.rs
+++ b/crates/proxy/src/discovery/endpoint_entry.rs
@@ -48,12 +48,12 @@
 
 impl From<EndpointEntry> for ListedServer {
     fn from(entry: EndpointEntry) -> Self {
-        let started_us = WholeNumber::or(entry.started_ms, 0).saturating_mul(1000);
+        let started_us = WholeNumber::value_or(entry.started_ms, 0).saturating_mul(1000);
         ListedServer {
             endpoint: Endpoint {
                 id: server_id(&entry.wire_id),
                 zone: entry.zone.unwrap_or_default(),
-                cell: WholeNumber::or(entry.cell, 0),
+                cell: WholeNumber::value_or(entry.cell, 0),
                 kind: entry.kind.unwrap_or_default(),
                 weight: entry.weight.unwrap_or(1.0),
                 state: entry.state,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,39 +1,41 @@
-//! The settings as they stand in JSON: one struct for each object, with its key names. A field
-//! means what the field of [`edge_routing::Settings`] means that `convert` fills from it; comments
-//! here name units and words only.
+//! The JSON form of the settings, with one struct for each JSON object and its key names.
 //!
-//! Every key may be absent or null unless its type is not an `Option`. Keys that are not listed are
-//! ignored.
+//! The `convert` module translates these structs to [`edge_routing::Settings`], which documents the
+//! meaning of each field. Comments here only name units and accepted keywords.
+//!
+//! A key whose field is an `Option` may be absent or null. All other keys are required. Unknown
+//! keys are ignored.
 
 use crate::json::{Object, Tolerant, WholeNumber};
 use serde::Deserialize;
 
-/// A list with one value for each class or zone. Values past the last class or zone are not
-/// checked.
+/// A list with one value for each class, zone or server kind. A value of the wrong type is an error
+/// only if it belongs to an existing class or zone.
 pub(crate) type IndexedList<T> = Option<Vec<Tolerant<T>>>;
 
-/// The whole document.
+/// The settings object.
 #[derive(Deserialize)]
 pub(crate) struct SettingsDocument {
     pub categories: Option<Vec<Object<Category>>>,
     pub customers: Option<Vec<Object<Customer>>>,
-    /// Names of the zones.
+    /// Zone names.
     pub localities: Option<Vec<String>>,
-    /// Names of the kinds of server; `mid-kind` and `source-kind` are indices into it.
+    /// Names of the server kinds. `mid-kind` and `source-kind` are indices into this list.
     pub kinds: IndexedList<String>,
+    /// Name of the proxy's own zone.
     pub zone: String,
-    /// `ask` or `push`.
+    /// `ask` if the endpoint list must be polled, or `push` if updates are sent.
     pub discovery: Option<String>,
-    /// `nominal`, `rough`, `live` or `off`.
+    /// `nominal` or `rough` if weights in the endpoint list are capacities, or `live` or `off`.
     pub weights: Option<String>,
     pub telemetry: Option<Object<Telemetry>>,
     #[serde(rename = "family-info")]
-    pub family: Option<Object<FamilyInfo>>,
+    pub family_info: Option<Object<FamilyInfo>>,
     pub limits: Option<Object<Limits>>,
     pub rules: Option<Object<Rules>>,
 }
 
-/// An entry of `categories`: a class of requests. Times in microseconds.
+/// An entry of `categories`, which defines a class of requests. Times are in microseconds.
 #[derive(Deserialize)]
 pub(crate) struct Category {
     pub name: String,
@@ -58,26 +60,28 @@
     pub streaming: Option<bool>,
 }
 
-/// An entry of `customers`: a tenant.
+/// An entry of `customers`, which defines a tenant.
 #[derive(Deserialize)]
 pub(crate) struct Customer {
     pub name: String,
-    /// Requests per second.
+    /// Quota in requests per second.
     #[serde(rename = "quota-rps")]
     pub quota_rps: Option<f64>,
 }
 
-/// `telemetry`: the load reports.
+/// The `telemetry` object, which describes the load reports.
 #[derive(Default, Deserialize)]
 pub(crate) struct Telemetry {
-    /// `inline`, `on_probe` or `off`.
+    /// `inline` if answers and probe results carry load reports, `on_probe` if only probe results
+    /// do, or `off`.
     pub source: Option<String>,
 }
 
-/// `family-info`: facts about this kind of service. Times in microseconds, rates in KB per second.
+/// The `family-info` object, which holds the properties of the deployed service. Times are in
+/// microseconds, rates in KB per second.
 #[derive(Default, Deserialize)]
 pub(crate) struct FamilyInfo {
-    // By class.
+    // Lists with one value for each class.
     #[serde(rename = "in-pieces")]
     pub multipart: IndexedList<bool>,
     #[serde(rename = "never-kept")]
@@ -89,7 +93,7 @@
     #[serde(rename = "old-copy-worth")]
     pub stale_weight: IndexedList<f64>,
 
-    // By zone.
+    // Lists with one value for each zone.
     #[serde(rename = "seats-by-zone")]
     pub edge_proxies: IndexedList<WholeNumber>,
     #[serde(rename = "attached-to")]
@@ -97,11 +101,11 @@
     #[serde(rename = "zone-link-kb-per-s")]
     pub link_kb_per_s: IndexedList<f64>,
 
-    // Of the whole service.
-    /// Index into `kinds`; negative: there is none.
+    // Values for the whole service.
+    /// Index into `kinds`. A negative value means that the deployment has no parents.
     #[serde(rename = "mid-kind")]
     pub parent_kind: Option<f64>,
-    /// Index into `kinds`; negative: there is none.
+    /// Index into `kinds`. A negative value means that no kind is configured.
     #[serde(rename = "source-kind")]
     pub origin_kind: Option<f64>,
     #[serde(rename = "may-pass-by")]
@@ -130,7 +134,7 @@
     pub purge_completion_us: Option<WholeNumber>,
 }
 
-/// `limits`: what the deployment permits. Times in microseconds.
+/// The `limits` object, which says what the deployment permits. Times are in microseconds.
 #[derive(Default, Deserialize)]
 pub(crate) struct Limits {
     #[serde(rename = "try-limit")]
@@ -146,7 +150,8 @@
     pub max_retry_after_us: Option<WholeNumber>,
 }
 
-/// `rules`: figures of the rules on draining and cold starts. Times in microseconds.
+/// The `rules` object, which configures draining, warm-up, overload and polling. Times are in
+/// microseconds.
 #[derive(Default, Deserialize)]
 pub(crate) struct Rules {
     #[serde(rename = "drain-grace-us")]
@@ -160,5 +165,5 @@
     #[serde(rename = "tip-after-us")]
     pub overload_window_us: Option<WholeNumber>,
     #[serde(rename = "ask-within-us")]
-    pub poll_within_us: Option<WholeNumber>,
+    pub max_poll_interval_us: Option<WholeNumber>,
 }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,5 +1,5 @@
-//! What the JSON documents of this workspace have in common: numbers that may be written with a
-//! point, objects that must be objects, and errors that name the key at fault.
+//! Helpers for reading JSON documents: integers that may be written as floating-point numbers,
+//! structs that are read from JSON objects only, and errors that name the invalid key.
 
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{Error, IgnoredAny, MapAccess, Unexpected, Visitor};
@@ -8,14 +8,14 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A JSON value that cannot be read as what the program expects.
+/// The error for a JSON value that does not have the expected form.
 #[derive(Debug, thiserror::Error)]
 #[error("{}{source}", field_prefix(path))]
 pub struct ReadError {
-    /// Path of the key at fault, such as `categories[0].aim-us`; `.` is the document itself. Where
-    /// a key is missing, this is the object that lacks it, and `source` names the key.
+    /// Path of the invalid value, such as `categories[0].aim-us`, or `.` for the whole document. If
+    /// a key is missing, this is the path of the object that lacks it, and `source` names the key.
     pub path: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub source: serde_json::Error,
 }
 
@@ -35,25 +35,25 @@
     }
 }
 
-/// Reads a JSON value.
+/// Reads a JSON value. An error names the path of the invalid value.
 pub fn read<'de, T: Deserialize<'de>>(value: &'de Value) -> Result<T, ReadError> {
-    // Keeping track of the path costs time, so it is done for values with an error only.
+    // Tracking the path costs time, so only a value that failed to parse is read again with it.
     T::deserialize(value).or_else(|_| Ok(serde_path_to_error::deserialize(value)?))
 }
 
-/// A number from 0 that counts whole units. `300000.0` is read as 300000, a fraction is dropped,
-/// and what exceeds 64 bits becomes the largest number.
+/// A non-negative integer, which may be written as a floating-point number. Reading drops the
+/// fraction and reduces a floating-point number over [`u64::MAX`] to [`u64::MAX`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WholeNumber(pub u64);
 
 impl WholeNumber {
-    /// The number that a value with a fraction stands for; none where it is negative or not finite.
+    /// Converts a floating-point number. Returns None if it is negative or not finite.
     pub fn from_f64(value: f64) -> Option<Self> {
         (value >= 0.0 && value.is_finite()).then_some(WholeNumber(value as u64))
     }
 
-    /// The number that a field holds, or the default of a field that is absent or null.
-    pub fn or(field: Option<Self>, default: u64) -> u64 {
+    /// Returns the number in a field, or the default if the field is absent or null.
+    pub fn value_or(field: Option<Self>, default: u64) -> u64 {
         field.map_or(default, |number| number.0)
     }
 }
@@ -70,7 +70,7 @@
     type Value = WholeNumber;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("a whole number from 0")
+        formatter.write_str("a non-negative whole number")
     }
 
     fn visit_u64<E: Error>(self, value: u64) -> Result<WholeNumber, E> {
@@ -89,8 +89,8 @@
     }
 }
 
-/// A struct that is read from a JSON object only. By itself, `serde` also reads a struct from a
-/// list of its fields.
+/// A struct that is read from a JSON object only. Without this wrapper, `serde` also reads a struct
+/// from an array of its field values.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Object<T>(pub T);
 
@@ -114,26 +114,26 @@
     }
 }
 
-/// A value that need not be of the expected type, because it may never be used.
+/// A value for which the wrong type is no error while reading, because the value may not be used.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Tolerant<T> {
-    /// It is of the expected type.
+    /// A value of the expected type.
     Valid(T),
-    /// It is of another type.
+    /// A value of any other type, whose content is discarded.
     Invalid(IgnoredAny),
 }
 
 impl<T> Tolerant<T> {
-    /// The value, where it is of the expected type.
-    pub fn valid(self) -> Option<T> {
+    /// Returns the value, or None if it has the wrong type.
+    pub fn into_valid(self) -> Option<T> {
         match self {
             Tolerant::Valid(value) => Some(value),
             Tolerant::Invalid(_) => None,
         }
     }
 
-    /// The value, where it is of the expected type.
+    /// Returns a reference to the value, or None if it has the wrong type.
     pub fn as_valid(&self) -> Option<&T> {
         match self {
             Tolerant::Valid(value) => Some(value),
@@ -142,9 +142,9 @@
     }
 }
 
-/// Reads a JSON text.
+/// Reads a JSON text. An error names the path of the invalid value.
 pub fn read_str<'de, T: Deserialize<'de>>(text: &'de str) -> Result<T, ReadError> {
-    // As in `read`, the path is kept track of for texts with an error only.
+    // As in `read`, only a text that failed to parse is read again with its path tracked.
     serde_json::from_str(text).or_else(|_| {
         let mut deserializer = serde_json::Deserializer::from_str(text);
         let value = serde_path_to_error::deserialize(&mut deserializer)?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reads the settings of a deployment from JSON into [`edge_routing::Settings`]. The proxy finds
-//! the object in its configuration, the simulator adapter in the message that starts an instance.
+//! Reads the settings of a deployment from JSON into [`edge_routing::Settings`]. The settings
+//! object is part of the proxy's configuration file, and of the `Born` message by which the
+//! simulator starts an instance in the simulator adapter.
 //!
-//! `document` mirrors the JSON and is the only place that knows its key names, `convert` fills in
-//! defaults, and [`json`] holds what other JSON documents of the workspace are read with too.
+//! `document` mirrors the JSON and alone defines its key names. `convert` fills in defaults and
+//! translates keywords. [`json`] holds helpers that other crates also use to read JSON documents.
 
 mod convert;
 mod document;
@@ -13,13 +14,13 @@
 use json::{Object, ReadError};
 use serde_json::Value;
 
-/// Why settings cannot be read. Every variant names the key at fault.
+/// The reason why settings cannot be read. Every message names the invalid or missing key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsReadError {
-    /// A key is missing or holds a value of the wrong type.
+    /// A key is missing, or its value has the wrong type.
     #[error(transparent)]
     Field(#[from] ReadError),
-    /// The entry of a list that belongs to a class or zone has the wrong type.
+    /// The list entry for a class or zone has the wrong type.
     #[error("field '{path}' has the wrong type")]
     WrongType {
         /// Path of the entry, such as `family-info.in-pieces[1]`.
@@ -27,8 +28,7 @@
     },
 }
 
-/// Reads the settings object. Whether a router can work with the settings is for
-/// [`Settings::validate`] to say.
+/// Reads the settings object. Checks types only; [`Settings::validate`] checks the values.
 pub fn from_json(value: &Value) -> Result<Settings, SettingsReadError> {
     let Object(document): Object<SettingsDocument> = json::read(value)?;
     convert::settings(document)
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Reading the settings object: defaults, number forms, and errors that name the key at fault.
+//! Tests of reading the settings object: defaults, number formats, and errors that name the key.
 
 use edge_routing::{DedupScope, Idempotency, LoadReportSource, PeerFill, Provenance};
 use edge_settings::from_json;
 use serde_json::{json, Value};
 
-/// The least that is read: one class, one zone.
-fn minimal() -> Value {
+/// Returns a document with only the required keys, for one class and one zone.
+fn minimal_document() -> Value {
     json!({
         "categories": [{"name": "photo", "aim-us": 300000, "deadline-us": 2500000}],
         "localities": ["here"],
@@ -15,7 +15,7 @@
 
 #[test]
 fn absent_keys_have_defaults() {
-    let settings = from_json(&minimal()).unwrap();
+    let settings = from_json(&minimal_document()).unwrap();
     let class = &settings.classes[0];
     assert_eq!(class.idempotency, Idempotency::NonIdempotent);
     assert_eq!(class.dedup_scope, DedupScope::Cell);
@@ -37,7 +37,7 @@
 
 #[test]
 fn null_is_read_as_absent() {
-    let mut document = minimal();
+    let mut document = minimal_document();
     for key in [
         "customers",
         "kinds",
@@ -54,13 +54,13 @@
     document["categories"][0]["window-us"] = Value::Null;
     assert_eq!(
         from_json(&document).unwrap(),
-        from_json(&minimal()).unwrap()
+        from_json(&minimal_document()).unwrap()
     );
 }
 
 #[test]
-fn whole_numbers_may_be_written_with_a_point() {
-    let mut document = minimal();
+fn whole_numbers_may_be_written_as_floating_point_numbers() {
+    let mut document = minimal_document();
     document["categories"][0]["aim-us"] = json!(300000.0);
     document["limits"] = json!({"try-limit": 4.0});
     document["family-info"] = json!({"seats-by-zone": [2.0], "mid-kind": 1.0});
@@ -73,25 +73,26 @@
 }
 
 #[test]
-fn unknown_keys_and_words_are_accepted() {
-    let mut document = minimal();
+fn unknown_keys_and_keywords_read_as_defaults() {
+    let mut document = minimal_document();
     document["new-key"] = json!([1, 2]);
     document["categories"][0]["repeat"] = json!("a later word");
     assert_eq!(
         from_json(&document).unwrap(),
-        from_json(&minimal()).unwrap()
+        from_json(&minimal_document()).unwrap()
     );
 }
 
 #[test]
 fn entries_past_the_last_class_are_not_checked() {
-    let mut document = minimal();
+    let mut document = minimal_document();
     document["family-info"] = json!({"in-pieces": [true, "x", null]});
     assert!(from_json(&document).unwrap().classes[0].multipart);
 }
 
-/// Pointer to a value, what it is replaced by, and what the error then says.
-fn faults() -> Vec<(&'static str, Value, &'static str)> {
+/// Returns JSON pointers, the invalid value to set at each, and an expected part of the error
+/// message.
+fn invalid_values() -> Vec<(&'static str, Value, &'static str)> {
     vec![
         ("/zone", json!(3), "field 'zone'"),
         ("/zone", Value::Null, "field 'zone'"),
@@ -143,9 +144,9 @@
 }
 
 #[test]
-fn errors_name_the_faulty_key() {
-    for (pointer, value, expected) in faults() {
-        let mut document = minimal();
+fn errors_name_the_invalid_or_missing_key() {
+    for (pointer, value, expected) in invalid_values() {
+        let mut document = minimal_document();
         if pointer.is_empty() || document.pointer(pointer).is_some() {
             *document.pointer_mut(pointer).unwrap() = value.clone();
         } else {
--- a/crates/sim-adapter/src/action_message.rs
+++ b/crates/sim-adapter/src/action_message.rs
@@ -1,17 +1,19 @@
-//! Messages to the simulator: one variant for each, with its key names. Times are microseconds. The
-//! fields of each stand in the order of their keys, so that a recorded reply can be compared byte
-//! for byte.
+//! Messages to the simulator.
+//!
+//! Each variant has the name of its message in the simulator's line protocol, and its serde
+//! attributes give the key names. Times are in microseconds. Fields are declared in alphabetical
+//! order of their keys, so that replies can be compared byte for byte with recorded ones.
 
 use edge_routing::{Action, Fill};
 use serde::Serialize;
 
-/// A line of a reply.
+/// A message to the simulator, which is one line of a reply.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum ActionMessage<'a> {
-    /// `Assign`: an attempt without a fill.
+    /// Starts an attempt without a fill.
     Assign {
-        /// None: until the client gives up.
+        /// Time limit of the attempt, or None to wait until the client gives up.
         #[serde(rename = "allow-for-us")]
         timeout_us: Option<u64>,
         event_type: &'static str,
@@ -22,18 +24,18 @@
         #[serde(rename = "store")]
         server: u64,
     },
-    /// `ReadThrough`: an attempt with a fill.
+    /// Starts an attempt with a fill.
     ReadThrough {
-        /// None: until the client gives up.
+        /// Time limit of the attempt, or None to wait until the client gives up.
         #[serde(rename = "allow-for-us")]
         timeout_us: Option<u64>,
         event_type: &'static str,
         #[serde(rename = "feeder")]
         source: u64,
-        /// A sum of bits; see [`fill_flags`].
+        /// Bit flags; see [`fill_flags`].
         #[serde(rename = "how")]
         flags: u8,
-        /// None: the freshness lifetime of the class.
+        /// Largest acceptable age of a copy, or None for the freshness lifetime of the class.
         #[serde(rename = "how-old-us")]
         max_age_us: Option<u64>,
         #[serde(rename = "i")]
@@ -45,7 +47,7 @@
         #[serde(rename = "tier-rank")]
         retention_rank: u8,
     },
-    /// `Retract`: cancels an attempt.
+    /// Cancels an attempt.
     Retract {
         event_type: &'static str,
         #[serde(rename = "go")]
@@ -55,18 +57,18 @@
         #[serde(rename = "request-id")]
         request: u64,
     },
-    /// `PushBack`: the final answer that rejects a request.
+    /// Gives the final answer that rejects a request.
     PushBack {
         event_type: &'static str,
         #[serde(rename = "i")]
         instance: u64,
         #[serde(rename = "request-id")]
         request: u64,
-        /// None: no advice.
+        /// Time after which to retry, or None for no advice.
         #[serde(rename = "retry-after-us")]
         retry_after_us: Option<u64>,
     },
-    /// `Abort`: the final answer that fails a request.
+    /// Gives the final answer that fails a request.
     Abort {
         event_type: &'static str,
         #[serde(rename = "i")]
@@ -74,8 +76,9 @@
         #[serde(rename = "request-id")]
         request: u64,
     },
-    /// `After`: sets a timer.
+    /// Sets a timer.
     After {
+        /// When the timer expires.
         #[serde(rename = "at-us")]
         at: u64,
         #[serde(rename = "ctx")]
@@ -84,7 +87,7 @@
         #[serde(rename = "i")]
         instance: u64,
     },
-    /// `SoundOut`: probes a server.
+    /// Probes a server.
     SoundOut {
         event_type: &'static str,
         #[serde(rename = "i")]
@@ -92,14 +95,14 @@
         #[serde(rename = "store")]
         server: u64,
     },
-    /// `Track`: watches the endpoint list.
+    /// Watches the endpoint list.
     Track {
         event_type: &'static str,
         #[serde(rename = "i")]
         instance: u64,
         want: bool,
     },
-    /// `Emit`: a line for the report.
+    /// Writes a line to the simulator's report.
     Emit {
         event_type: &'static str,
         #[serde(rename = "i")]
@@ -107,7 +110,7 @@
         #[serde(rename = "msg")]
         line: &'a str,
     },
-    /// `Ack`: ends a reply.
+    /// Ends the reply to a batch.
     Ack {
         event_type: &'static str,
         round: u64,
@@ -115,7 +118,7 @@
 }
 
 impl<'a> ActionMessage<'a> {
-    /// The message for an action of an instance.
+    /// Returns the message for an action of an instance.
     pub fn new(instance: u64, action: &'a Action) -> Self {
         match *action {
             Action::StartAttempt {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// The end of the reply to a batch.
+    /// Returns the message that ends the reply to the batch with number `round`.
     pub fn end_of_reply(round: u64) -> Self {
         ActionMessage::Ack {
             event_type: "Ack",
@@ -211,7 +214,7 @@
     }
 }
 
-/// `how` of a `ReadThrough`.
+/// Returns the bit flags of the `how` key of a `ReadThrough` message.
 fn fill_flags(fill: &Fill) -> u8 {
     u8::from(fill.coalesce)
         + 2 * u8::from(fill.only_if_cached)
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,64 +1,64 @@
-//! Why the adapter stops.
+//! Errors that stop the adapter.
 
 use edge_routing::SettingsError;
 use edge_settings::json::ReadError;
 use edge_settings::SettingsReadError;
 use std::io;
 
-/// Why the adapter stops before its input ends.
+/// The reason why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A line of the input cannot be used.
+    /// A line of the input is invalid.
     #[error("line {number}: {source}")]
     Line {
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         number: u64,
-        /// What is wrong with it.
+        /// Why the line is invalid.
         source: LineError,
     },
     /// The input cannot be read, or is not UTF-8.
-    #[error("line {number}: {source}")]
+    #[error("line {number}: failed to read standard input: {source}")]
     Input {
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         number: u64,
-        /// The error of the read.
+        /// The read error.
         source: io::Error,
     },
     /// The output cannot be written.
-    #[error("the reply cannot be written: {0}")]
+    #[error("failed to write the reply to standard output: {0}")]
     Output(io::Error),
 }
 
-/// Why a line of the input cannot be used.
+/// The reason why a line of the input is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It is not JSON.
+    /// The line is not JSON.
     #[error("not JSON: {0}")]
     NotJson(ReadError),
-    /// It is not an object with an event type.
-    #[error("not a message: {0}")]
-    NotAMessage(ReadError),
-    /// A field is missing or of the wrong type.
+    /// The line is not an object with a valid `event_type` and instance id.
+    #[error("not an object with a valid 'event_type' and 'i': {0}")]
+    InvalidEnvelope(ReadError),
+    /// A key is missing, or its value has the wrong type.
     #[error("{event_type}: {source}")]
     Field {
-        /// The line's event type.
+        /// Type of the message.
         event_type: String,
-        /// Names the key.
+        /// The error, which names the key.
         source: ReadError,
     },
-    /// An event names no instance.
+    /// An event does not name its instance.
     #[error("{event_type}: missing field `i`")]
-    NoInstance {
-        /// The line's event type.
+    MissingInstance {
+        /// Type of the message.
         event_type: String,
     },
-    /// No batch is open.
-    #[error("no 'Clock' line before this one")]
-    NoClock,
+    /// The line is outside a batch, which only a `Clock` message begins.
+    #[error("message outside a batch: a 'Clock' message must come first")]
+    NoOpenBatch,
     /// The settings of an instance cannot be read.
     #[error("Born: setup: {0}")]
     SettingsRead(#[from] SettingsReadError),
-    /// No router can work with the settings of an instance.
+    /// The settings of an instance have an invalid value.
     #[error("Born: setup: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/crates/sim-adapter/src/event_message.rs
+++ b/crates/sim-adapter/src/event_message.rs
@@ -1,5 +1,7 @@
-//! Messages of the simulator: one struct for each, with its key names, and its meaning as an
-//! [`edge_routing::Event`]. Times are microseconds. Keys that are not listed are ignored.
+//! Messages from the simulator, and their conversion to [`edge_routing::Event`].
+//!
+//! Each struct for a message has the name of that message in the simulator's line protocol, and its
+//! serde attributes give the key names. Times are in microseconds. Unknown keys are ignored.
 
 use crate::error::LineError;
 use edge_routing as routing;
@@ -10,49 +12,49 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// What every line has.
+/// The keys that every message has.
 #[derive(Deserialize)]
 pub struct Envelope<'a> {
     /// Name of the message.
     #[serde(borrow)]
     pub event_type: Cow<'a, str>,
-    /// The instance; none for `Clock` and `End`.
+    /// Id of the instance that the message is for. `Clock` and `End` have none.
     #[serde(rename = "i")]
     pub instance: Option<WholeNumber>,
 }
 
-/// `Clock`: begins a batch.
+/// The `Clock` message, which begins a batch.
 #[derive(Deserialize)]
 pub struct Clock {
-    /// The time of every event in the batch.
+    /// Time of every event in the batch.
     #[serde(rename = "at-time-us")]
-    pub now: WholeNumber,
+    pub now_us: WholeNumber,
     /// Number of the batch.
     pub round: WholeNumber,
 }
 
-/// `Born`: starts an instance.
+/// The `Born` message, which starts an instance.
 #[derive(Deserialize)]
 pub struct Born {
-    /// Seed for the instance's random numbers.
+    /// Seed of the instance's random numbers.
     #[serde(rename = "nonce64")]
     pub seed: WholeNumber,
-    /// The settings object.
+    /// The instance's settings object.
     pub setup: Value,
 }
 
-/// `PeersKnown`: the endpoint list, or changes to it.
+/// The `PeersKnown` message, which holds the endpoint list or changes to it.
 #[derive(Deserialize)]
 struct PeersKnown {
-    /// 1 or 3: all of the list. 2: changes. 0: the poll failed.
+    /// 1 or 3 for the complete list, 2 for changed entries only, 0 if the poll failed.
     mode: WholeNumber,
     #[serde(rename = "items")]
-    entries: Option<Vec<Object<Entry>>>,
+    entries: Option<Vec<Object<EndpointListEntry>>>,
 }
 
 /// An entry of the endpoint list.
 #[derive(Deserialize)]
-struct Entry {
+struct EndpointListEntry {
     #[serde(rename = "store")]
     server: WholeNumber,
     #[serde(rename = "campus")]
@@ -62,14 +64,14 @@
     #[serde(rename = "shape")]
     kind: Option<String>,
     weight: Option<f64>,
-    /// 1: ready. 2: draining. 0: gone.
+    /// 1 for ready, 2 for draining, 0 for gone.
     state: WholeNumber,
-    /// 0: long ago.
+    /// When the server last started; 0 if that was long ago.
     #[serde(rename = "born-us")]
-    started: Option<WholeNumber>,
+    started_at: Option<WholeNumber>,
 }
 
-/// `Order`: a client's request.
+/// The `Order` message, which is a client's request.
 #[derive(Deserialize)]
 struct Order {
     #[serde(rename = "request-id")]
@@ -77,26 +79,26 @@
     #[serde(rename = "grade")]
     class: String,
     #[serde(rename = "owner")]
-    tenant: Option<Name>,
+    tenant: Option<NameOrZero>,
     #[serde(rename = "content-id")]
-    object: Option<Name>,
+    object: Option<NameOrZero>,
     #[serde(rename = "segment")]
     part: Option<WholeNumber>,
     #[serde(rename = "purge-group")]
     group: Option<WholeNumber>,
     #[serde(rename = "length-kb")]
     size_kb: Option<f64>,
-    /// Negative: the time is up.
+    /// Time until the client gives up. A negative value means that the time has passed.
     #[serde(rename = "remaining-us")]
     remaining_us: f64,
-    /// A sum of bits; see [`RETRY_MARK`].
+    /// Bit flags, of which [`RETRY_FLAG`] is the only one that is read.
     marks: Option<WholeNumber>,
 }
 
-/// The bit of `marks` that a client's retry has.
-const RETRY_MARK: u64 = 2;
+/// The bit in [`Order::marks`] that marks the request as a client's retry.
+const RETRY_FLAG: u64 = 2;
 
-/// `Accepted`: a streamed answer has begun.
+/// The `Accepted` message, which reports that a streamed answer has begun.
 #[derive(Deserialize)]
 struct Accepted {
     #[serde(rename = "request-id")]
@@ -105,7 +107,7 @@
     attempt: Option<WholeNumber>,
 }
 
-/// `Resolved`: an attempt has ended.
+/// The `Resolved` message, which reports that an attempt ended.
 #[derive(Deserialize)]
 struct Resolved<'a> {
     #[serde(rename = "request-id")]
@@ -127,21 +129,21 @@
     load: Option<Object<LoadReport>>,
 }
 
-/// `ClientLeft`: the client has disconnected.
+/// The `ClientLeft` message, which reports that the client disconnected.
 #[derive(Deserialize)]
 struct ClientLeft {
     #[serde(rename = "request-id")]
     request: WholeNumber,
 }
 
-/// `Elapsed`: a timer has come due.
+/// The `Elapsed` message, which reports that a timer expired.
 #[derive(Deserialize)]
 struct Elapsed {
     #[serde(rename = "ctx")]
     tag: WholeNumber,
 }
 
-/// `CheckResult`: a probe has ended.
+/// The `CheckResult` message, which reports that a probe ended.
 #[derive(Deserialize)]
 struct CheckResult<'a> {
     #[serde(rename = "store")]
@@ -154,18 +156,19 @@
     load: Option<Object<LoadReport>>,
 }
 
-/// `Invalidated`: an object, or with none a whole group, was purged.
+/// The `Invalidated` message, which reports a purge of an object, or of a whole purge group if it
+/// names no object.
 #[derive(Deserialize)]
 struct Invalidated {
     #[serde(rename = "content-id")]
-    object: Option<Name>,
+    object: Option<NameOrZero>,
     #[serde(rename = "batch-id")]
     group: Option<WholeNumber>,
     #[serde(rename = "how-old-us")]
     age_us: Option<WholeNumber>,
 }
 
-/// A server's load report. Values of another type are ignored: sites define their own.
+/// A server's load report. Values of the wrong type are ignored, because sites define their own.
 #[derive(Deserialize)]
 struct LoadReport {
     #[serde(rename = "cpu_share")]
@@ -178,72 +181,75 @@
     link_utilization: Option<Tolerant<f64>>,
 }
 
-/// A name; the number 0 where there is none.
-struct Name(Option<String>);
+/// A name, or None for the number 0, which the protocol uses for an absent name.
+struct NameOrZero(Option<String>);
 
-impl<'de> Deserialize<'de> for Name {
+impl<'de> Deserialize<'de> for NameOrZero {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(NameVisitor)
+        deserializer.deserialize_any(NameOrZeroVisitor)
     }
 }
 
-struct NameVisitor;
+struct NameOrZeroVisitor;
 
-impl Visitor<'_> for NameVisitor {
-    type Value = Name;
+impl Visitor<'_> for NameOrZeroVisitor {
+    type Value = NameOrZero;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("a name or 0")
     }
 
-    fn visit_str<E: Error>(self, value: &str) -> Result<Name, E> {
-        Ok(Name(Some(value.to_owned())))
+    fn visit_str<E: Error>(self, value: &str) -> Result<NameOrZero, E> {
+        Ok(NameOrZero(Some(value.to_owned())))
     }
 
-    fn visit_u64<E: Error>(self, value: u64) -> Result<Name, E> {
+    fn visit_u64<E: Error>(self, value: u64) -> Result<NameOrZero, E> {
         match value {
-            0 => Ok(Name(None)),
+            0 => Ok(NameOrZero(None)),
             _ => Err(E::invalid_value(Unexpected::Unsigned(value), &self)),
         }
     }
 
-    fn visit_f64<E: Error>(self, value: f64) -> Result<Name, E> {
+    fn visit_f64<E: Error>(self, value: f64) -> Result<NameOrZero, E> {
         match value {
-            0.0 => Ok(Name(None)),
+            0.0 => Ok(NameOrZero(None)),
             _ => Err(E::invalid_value(Unexpected::Float(value), &self)),
         }
     }
 }
 
-/// Reads a line as a message of a known type.
-pub fn read<'a, T: Deserialize<'a>>(event_type: &str, line: &'a str) -> Result<T, LineError> {
+/// Reads a line as a message of type `T`. Errors give `event_type` as the name of the message.
+pub fn read_message<'a, T: Deserialize<'a>>(
+    event_type: &str,
+    line: &'a str,
+) -> Result<T, LineError> {
     read_str(line).map_err(|source| LineError::Field {
         event_type: event_type.to_owned(),
         source,
     })
 }
 
-/// Reads what every line has.
+/// Reads the keys that every message has.
 pub fn read_envelope(line: &str) -> Result<Envelope<'_>, LineError> {
     match read_str(line) {
         Ok(Object(envelope)) => Ok(envelope),
-        Err(error) if error.source.is_data() => Err(LineError::NotAMessage(error)),
+        Err(error) if error.source.is_data() => Err(LineError::InvalidEnvelope(error)),
         Err(error) => Err(LineError::NotJson(error)),
     }
 }
 
-/// Reads an event for an instance that runs; none where the type is unknown. `Peer` is one of
-/// these: instances do not send each other messages.
+/// Reads an event for a running instance. Returns None if the message type is unknown. `Peer` is
+/// treated as unknown, because instances do not send each other messages.
 pub fn read_event(event_type: &str, line: &str) -> Result<Option<routing::Event>, LineError> {
     let event = match event_type {
-        "PeersKnown" => read::<PeersKnown>(event_type, line)?.into(),
-        "Order" => read::<Order>(event_type, line)?.into(),
-        "Accepted" => read::<Accepted>(event_type, line)?.into(),
-        "Resolved" => read::<Resolved>(event_type, line)?.into(),
-        "ClientLeft" => read::<ClientLeft>(event_type, line)?.into(),
-        "Elapsed" => read::<Elapsed>(event_type, line)?.into(),
-        "CheckResult" => read::<CheckResult>(event_type, line)?.into(),
-        "Invalidated" => read::<Invalidated>(event_type, line)?.into(),
+        "PeersKnown" => read_message::<PeersKnown>(event_type, line)?.into(),
+        "Order" => read_message::<Order>(event_type, line)?.into(),
+        "Accepted" => read_message::<Accepted>(event_type, line)?.into(),
+        "Resolved" => read_message::<Resolved>(event_type, line)?.into(),
+        "ClientLeft" => read_message::<ClientLeft>(event_type, line)?.into(),
+        "Elapsed" => read_message::<Elapsed>(event_type, line)?.into(),
+        "CheckResult" => read_message::<CheckResult>(event_type, line)?.into(),
+        "Invalidated" => read_message::<Invalidated>(event_type, line)?.into(),
         _ => return Ok(None),
     };
     Ok(Some(event))
@@ -266,12 +272,12 @@
     }
 }
 
-impl From<Entry> for routing::Endpoint {
-    fn from(entry: Entry) -> Self {
+impl From<EndpointListEntry> for routing::Endpoint {
+    fn from(entry: EndpointListEntry) -> Self {
         routing::Endpoint {
             id: entry.server.0,
             zone: entry.zone.unwrap_or_default(),
-            cell: WholeNumber::or(entry.cell, 0),
+            cell: WholeNumber::value_or(entry.cell, 0),
             kind: entry.kind.unwrap_or_default(),
             weight: entry.weight.unwrap_or(1.0),
             state: match entry.state.0 {
@@ -279,7 +285,8 @@
                 2 => routing::EndpointState::Draining,
                 _ => routing::EndpointState::Gone,
             },
-            started_at: Some(WholeNumber::or(entry.started, 0)).filter(|started| *started > 0),
+            started_at: Some(WholeNumber::value_or(entry.started_at, 0))
+                .filter(|started_at| *started_at > 0),
         }
     }
 }
@@ -289,16 +296,16 @@
         routing::Event::Request(routing::Request {
             id: message.request.0,
             class: message.class,
-            tenant: message.tenant.and_then(|Name(name)| name),
+            tenant: message.tenant.and_then(|NameOrZero(name)| name),
             object: message
                 .object
-                .and_then(|Name(name)| name)
+                .and_then(|NameOrZero(name)| name)
                 .unwrap_or_default(),
-            part: WholeNumber::or(message.part, 0),
-            group: WholeNumber::or(message.group, 0),
+            part: WholeNumber::value_or(message.part, 0),
+            group: WholeNumber::value_or(message.group, 0),
             size_kb: message.size_kb.unwrap_or(0.0),
             remaining_us: message.remaining_us.max(0.0) as u64,
-            is_retry: WholeNumber::or(message.marks, 0) & RETRY_MARK != 0,
+            is_retry: WholeNumber::value_or(message.marks, 0) & RETRY_FLAG != 0,
         })
     }
 }
@@ -307,7 +314,7 @@
     fn from(message: Accepted) -> Self {
         routing::Event::StreamStarted {
             request: message.request.0,
-            attempt: WholeNumber::or(message.attempt, 0) as u32,
+            attempt: WholeNumber::value_or(message.attempt, 0) as u32,
         }
     }
 }
@@ -316,13 +323,13 @@
     fn from(message: Resolved<'_>) -> Self {
         routing::Event::AttemptEnded(routing::AttemptReport {
             request: message.request.0,
-            attempt: WholeNumber::or(message.attempt, 0) as u32,
+            attempt: WholeNumber::value_or(message.attempt, 0) as u32,
             server: message.server.0,
             outcome: outcome(&message.outcome),
-            took_us: WholeNumber::or(message.took_us, 0),
+            took_us: WholeNumber::value_or(message.took_us, 0),
             settled: message.settled.unwrap_or(false),
-            fill_result: fill_result(WholeNumber::or(message.fill_result, 0)),
-            fill_ttfb_us: WholeNumber::or(message.fill_ttfb_us, 0),
+            fill_result: fill_result(WholeNumber::value_or(message.fill_result, 0)),
+            fill_ttfb_us: WholeNumber::value_or(message.fill_ttfb_us, 0),
             load: message.load.map(|Object(report)| report.into()),
         })
     }
@@ -347,7 +354,7 @@
         routing::Event::ProbeEnded {
             server: message.server.0,
             outcome: outcome(&message.outcome),
-            took_us: WholeNumber::or(message.took_us, 0),
+            took_us: WholeNumber::value_or(message.took_us, 0),
             load: message.load.map(|Object(report)| report.into()),
         }
     }
@@ -356,9 +363,9 @@
 impl From<Invalidated> for routing::Event {
     fn from(message: Invalidated) -> Self {
         routing::Event::Purged {
-            object: message.object.and_then(|Name(name)| name),
-            group: WholeNumber::or(message.group, 0),
-            age_us: WholeNumber::or(message.age_us, 0),
+            object: message.object.and_then(|NameOrZero(name)| name),
+            group: WholeNumber::value_or(message.group, 0),
+            age_us: WholeNumber::value_or(message.age_us, 0),
             permanent: false,
         }
     }
@@ -367,16 +374,17 @@
 impl From<LoadReport> for routing::LoadReport {
     fn from(report: LoadReport) -> Self {
         routing::LoadReport {
-            cpu_utilization: report.cpu_utilization.and_then(Tolerant::valid),
-            in_flight: report.in_flight.and_then(Tolerant::valid),
-            hit_ratio: report.hit_ratio.and_then(Tolerant::valid),
-            link_utilization: report.link_utilization.and_then(Tolerant::valid),
+            cpu_utilization: report.cpu_utilization.and_then(Tolerant::into_valid),
+            in_flight: report.in_flight.and_then(Tolerant::into_valid),
+            hit_ratio: report.hit_ratio.and_then(Tolerant::into_valid),
+            link_utilization: report.link_utilization.and_then(Tolerant::into_valid),
         }
     }
 }
 
-fn outcome(word: &str) -> routing::Outcome {
-    match word {
+/// Converts the `how` key of a `Resolved` or `CheckResult` message.
+fn outcome(how: &str) -> routing::Outcome {
+    match how {
         "ok" => routing::Outcome::Ok,
         "full" => routing::Outcome::Rejected,
         "timeout" => routing::Outcome::Timeout,
@@ -385,11 +393,12 @@
         "cancelled" => routing::Outcome::Cancelled,
         "moot" => routing::Outcome::NotSent,
         "miss" => routing::Outcome::Miss,
-        // An attempt with an outcome that is not known here may have run, as with an error.
+        // An attempt with an unknown outcome may have taken effect, as one with an error may.
         _ => routing::Outcome::Error,
     }
 }
 
+/// Converts the `note` key of a `Resolved` message.
 fn fill_result(note: u64) -> routing::FillResult {
     match note {
         1 => routing::FillResult::Hit,
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of one process. They share nothing but the clock of the batch.
+//! Hosts the router instances of one process, which share only the time of the current batch.
 
 use crate::action_message::ActionMessage;
 use crate::error::LineError;
@@ -6,39 +6,40 @@
 use edge_routing::{Action, Router};
 use std::collections::BTreeMap;
 
-/// The instances, and the batch that is being read.
+/// The running router instances, and the state of the batch that is being read.
 #[derive(Default)]
 pub struct Host {
+    /// The running routers, by instance id.
     routers: BTreeMap<u64, Router>,
-    /// Time of the batch, in microseconds.
-    now: u64,
-    /// Number of the batch; none between batches.
-    round: Option<u64>,
-    /// Lines of the reply so far.
+    /// Time of the batch in microseconds.
+    now_us: u64,
+    /// Number of the open batch, or None between batches.
+    open_round: Option<u64>,
+    /// The lines of the reply so far.
     reply: Vec<u8>,
-    /// Actions of the event at hand; kept for its allocation only.
+    /// The actions of the current event. Empty between events, and kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles a line. Gives the reply to the batch where the line ends it.
+    /// Handles a line. Returns the reply to the batch if the line ends the batch, otherwise None.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<Vec<u8>>, LineError> {
         let envelope = event_message::read_envelope(line)?;
         let event_type = envelope.event_type.as_ref();
         if event_type == "Clock" {
-            let clock: Clock = event_message::read(event_type, line)?;
-            self.now = clock.now.0;
-            self.round = Some(clock.round.0);
+            let clock: Clock = event_message::read_message(event_type, line)?;
+            self.now_us = clock.now_us.0;
+            self.open_round = Some(clock.round.0);
             return Ok(None);
         }
-        let round = self.round.ok_or(LineError::NoClock)?;
+        let round = self.open_round.ok_or(LineError::NoOpenBatch)?;
         if event_type == "End" {
-            self.round = None;
+            self.open_round = None;
             push_line(&mut self.reply, &ActionMessage::end_of_reply(round));
             return Ok(Some(std::mem::take(&mut self.reply)));
         }
         let Some(instance) = envelope.instance else {
-            return Err(LineError::NoInstance {
+            return Err(LineError::MissingInstance {
                 event_type: event_type.to_owned(),
             });
         };
@@ -54,7 +55,7 @@
     ) -> Result<(), LineError> {
         match event_type {
             "Born" => {
-                let born: Born = event_message::read(event_type, line)?;
+                let born: Born = event_message::read_message(event_type, line)?;
                 let settings = edge_settings::from_json(&born.setup)?;
                 self.routers
                     .insert(instance, Router::new(settings, born.seed.0)?);
@@ -67,14 +68,14 @@
         Ok(())
     }
 
-    /// Has a router handle an event. An unknown event type and an instance that does not run are no
-    /// errors.
+    /// Passes an event to its router and adds the resulting actions to the reply. Ignores unknown
+    /// event types and events for instances that are not running.
     fn run_router(&mut self, instance: u64, event_type: &str, line: &str) -> Result<(), LineError> {
         let event = event_message::read_event(event_type, line)?;
         let (Some(router), Some(event)) = (self.routers.get_mut(&instance), event) else {
             return Ok(());
         };
-        router.handle(self.now, event, &mut self.actions);
+        router.handle(self.now_us, event, &mut self.actions);
         for action in self.actions.drain(..) {
             push_line(&mut self.reply, &ActionMessage::new(instance, &action));
         }
@@ -83,7 +84,7 @@
 }
 
 fn push_line(reply: &mut Vec<u8>, message: &ActionMessage) {
-    // Writing numbers, flags and text to memory cannot fail.
+    // Serializing numbers, booleans and strings to memory cannot fail.
     let _ = serde_json::to_writer(&mut *reply, message);
     reply.push(b'\n');
 }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Hosts many routing instances on the simulator's line protocol: batches of events on standard
-//! input, batches of actions on standard output, one JSON object a line. All decisions are those of
-//! `edge-routing`.
+//! Hosts many router instances and connects them to the simulator by its line protocol. The program
+//! reads batches of events from standard input and writes batches of actions to standard output.
+//! Each line is a JSON object. All decisions are made by `edge-routing`.
 
 mod action_message;
 mod error;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Answers batches until the input ends. Each reply is written whole and flushed.
+/// Answers batches until the end of the input. Writes and flushes the reply to each batch in full.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = String::new();
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,27 +1,31 @@
-//! The adapter as a process: batches that hold every event and cause every kind of action, and
-//! invalid input.
+//! Tests of the adapter as a process: batches with every event, which cause most kinds of action,
+//! and invalid input.
 
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn run(input: &str) -> Output {
+/// Runs the adapter with this standard input until it exits.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_edge-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("failed to start the adapter");
     child
         .stdin
         .take()
-        .expect("its input")
+        .expect("standard input is piped")
         .write_all(input.as_bytes())
         .unwrap_or(());
-    child.wait_with_output().expect("the adapter ends")
+    child
+        .wait_with_output()
+        .expect("failed to wait for the adapter to exit")
 }
 
-const SETUP: &str = r#"{"categories":[{"name":"film","aim-us":400000,"deadline-us":4000000,"repeat":"pure","extra":1},
+/// Settings for the `setup` key of a `Born` message.
+const SETTINGS: &str = r#"{"categories":[{"name":"film","aim-us":400000,"deadline-us":4000000,"repeat":"pure","extra":1},
  {"name":"post","aim-us":400000,"deadline-us":4000000,"repeat":"side_effect"}],
  "family-info":{"in-pieces":[true,false],"never-kept":[false,true],"good-for-us":[0,0],"may-pass-by":true,
  "can-join":true,"mid-kind":1,"source-kind":2,"seats-by-zone":[0,1],"attached-to":[0,0],
@@ -32,18 +36,19 @@
  "rules":{"cold-share":0.2,"ramp-time-us":9000000,"fall-multiple":2,"tip-after-us":1000000},
  "telemetry":{"source":"inline","fields":["cpu_share"]}}"#;
 
-const LIST: &str = r#"{"event_type":"PeersKnown","i":0,"mode":1,"seq-no":1,"items":[
+/// A `PeersKnown` message with a cache server, a parent and the origin.
+const ENDPOINT_LIST: &str = r#"{"event_type":"PeersKnown","i":0,"mode":1,"seq-no":1,"items":[
  {"store":4,"campus":"here","shape":"cache","group":0,"weight":9,"state":1,"born-us":null},
  {"store":5,"campus":"hub","shape":"mid","group":1,"weight":30,"state":1},
  {"store":6,"campus":"hub","shape":"root","group":2,"weight":1,"state":1,"note":"unknown fields are skipped"}]}"#;
 
 fn parse(text: &str) -> Value {
-    serde_json::from_str(text).expect("a sample is JSON")
+    serde_json::from_str(text).expect("sample message is valid JSON")
 }
 
-/// A batch as the simulator writes it.
-fn batch(at: u64, round: u64, events: &[Value]) -> String {
-    let clock = json!({"event_type": "Clock", "at-time-us": at, "round": round});
+/// Returns a batch in the form in which the simulator sends it. `at_us` is its time.
+fn batch(at_us: u64, round: u64, events: &[Value]) -> String {
+    let clock = json!({"event_type": "Clock", "at-time-us": at_us, "round": round});
     let end = json!({"event_type": "End"});
     [&clock]
         .into_iter()
@@ -57,10 +62,10 @@
     json!({"event_type": "Born", "i": 0, "nonce64": 12, "setup": setup})
 }
 
-fn order(id: u64, class: &str, remaining: u64) -> Value {
+fn order(id: u64, class: &str, remaining_us: u64) -> Value {
     json!({
         "event_type": "Order", "i": 0, "request-id": id, "grade": class, "owner": 0,
-        "content-id": format!("/o/{id}"), "remaining-us": remaining, "length-kb": 400,
+        "content-id": format!("/o/{id}"), "remaining-us": remaining_us, "length-kb": 400,
         "purge-group": 1, "segment": 0,
     })
 }
@@ -73,19 +78,22 @@
     })
 }
 
-fn lines(out: &Output) -> Vec<String> {
+fn reply_lines(out: &Output) -> Vec<String> {
     String::from_utf8_lossy(&out.stdout)
         .lines()
         .map(str::to_owned)
         .collect()
 }
 
-fn any_line_has(lines: &[String], parts: &[&str]) -> bool {
-    lines.iter().any(|l| parts.iter().all(|p| l.contains(p)))
+/// Returns whether any line contains all of these substrings.
+fn any_line_contains(lines: &[String], parts: &[&str]) -> bool {
+    lines
+        .iter()
+        .any(|line| parts.iter().all(|part| line.contains(part)))
 }
 
-/// Batches that hold every event.
-fn every_event() -> String {
+/// Returns batches that contain every event, one of an unknown type included.
+fn batches_with_every_event() -> String {
     let requests = [
         order(7, "film", 4_000_000),
         order(8, "post", 4_000_000),
@@ -104,7 +112,7 @@
     let client_left = json!({"event_type": "ClientLeft", "i": 0, "request-id": 10});
     let stop = json!({"event_type": "Stop", "i": 0});
     [
-        batch(1_000_000, 1, &[born(parse(SETUP)), parse(LIST)]),
+        batch(1_000_000, 1, &[born(parse(SETTINGS)), parse(ENDPOINT_LIST)]),
         batch(1_002_000, 2, &requests),
         batch(1_004_000, 3, &outcomes),
         batch(1_006_000, 4, &[order(10, "film", 4_000_000)]),
@@ -116,16 +124,19 @@
 }
 
 #[test]
-fn every_event_is_read_and_every_action_is_written() {
-    let out = run(&every_event());
+fn batches_with_every_event_are_answered_with_the_expected_actions() {
+    let out = run_adapter(&batches_with_every_event());
     assert!(
         out.status.success(),
         "{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let lines = lines(&out);
-    assert_eq!(lines.iter().filter(|l| l.contains("\"Ack\"")).count(), 7);
-    assert!(any_line_has(
+    let lines = reply_lines(&out);
+    assert_eq!(
+        lines.iter().filter(|line| line.contains("\"Ack\"")).count(),
+        7
+    );
+    assert!(any_line_contains(
         &lines,
         &[
             "ReadThrough",
@@ -136,31 +147,31 @@
         ]
     ));
     assert!(
-        any_line_has(&lines, &["ReadThrough", "\"request-id\":8", "\"store\":6"]),
-        "a write goes to the origin"
+        any_line_contains(&lines, &["ReadThrough", "\"request-id\":8", "\"store\":6"]),
+        "a write is sent to the origin"
     );
-    assert!(any_line_has(
+    assert!(any_line_contains(
         &lines,
         &["PushBack", "\"request-id\":9", "\"retry-after-us\":200000"]
     ));
-    assert!(any_line_has(&lines, &["Abort", "\"request-id\":8"]));
-    assert!(any_line_has(
+    assert!(any_line_contains(&lines, &["Abort", "\"request-id\":8"]));
+    assert!(any_line_contains(
         &lines,
         &["Retract", "\"request-id\":10", "\"go\":0"]
     ));
-    assert!(any_line_has(
+    assert!(any_line_contains(
         &lines,
         &["After", "\"at-us\":1110000", "\"ctx\":0"]
     ));
-    assert!(any_line_has(
+    assert!(any_line_contains(
         &lines,
         &["ReadThrough", "\"request-id\":11", "\"how-old-us\":5000"]
     ));
 }
 
 #[test]
-fn a_line_that_is_not_json_is_a_fatal_error_with_its_line_number() {
-    let out = run("{\"event_type\":\"Clock\",\"at-time-us\":1,\"round\":1}\nnot json\n");
+fn a_line_that_is_not_json_stops_the_adapter_and_the_error_has_its_line_number() {
+    let out = run_adapter("{\"event_type\":\"Clock\",\"at-time-us\":1,\"round\":1}\nnot json\n");
     assert!(!out.status.success());
     let message = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
@@ -170,39 +181,39 @@
 }
 
 #[test]
-fn an_error_names_the_missing_field() {
+fn the_error_for_a_missing_field_names_the_field_and_the_line() {
     let input = batch(
         1,
         1,
         &[
-            born(parse(SETUP)),
+            born(parse(SETTINGS)),
             json!({"event_type": "Order", "i": 0, "request-id": 3}),
         ],
     );
-    let out = run(&input);
+    let out = run_adapter(&input);
     assert!(!out.status.success());
     let message = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
         message.contains("line 3") && message.contains("`grade`"),
         "{message}"
     );
-    let out = run("{\"event_type\":\"Clock\",\"at-time-us\":1}\n");
+    let out = run_adapter("{\"event_type\":\"Clock\",\"at-time-us\":1}\n");
     assert!(String::from_utf8_lossy(&out.stderr).contains("`round`"));
 }
 
 #[test]
-fn a_truncated_batch_gets_no_reply_and_end_of_input_is_a_normal_exit() {
-    let out = run("{\"event_type\":\"Clock\",\"at-time-us\":1,\"round\":1}\n");
+fn an_incomplete_batch_gets_no_reply_and_the_end_of_input_is_no_error() {
+    let out = run_adapter("{\"event_type\":\"Clock\",\"at-time-us\":1,\"round\":1}\n");
     assert!(out.status.success());
     assert!(out.stdout.is_empty());
-    assert!(run("").status.success());
+    assert!(run_adapter("").status.success());
 }
 
 #[test]
-fn invalid_settings_are_a_fatal_error() {
-    let mut setup = parse(SETUP);
+fn invalid_settings_stop_the_adapter_with_an_error() {
+    let mut setup = parse(SETTINGS);
     setup["rules"]["tip-after-us"] = json!(0);
-    let out = run(&batch(1, 1, &[born(setup)]));
+    let out = run_adapter(&batch(1, 1, &[born(setup)]));
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("overload window"));
 }
