--- a/crates/proxy/tests/event_bus_subscription.rs
+++ b/crates/proxy/tests/event_bus_subscription.rs
@@ -47,7 +47,7 @@
         server_list.push(server);
     }
 
-    proxy.event_bus.publish_server_list(server_list);
+    proxy.event_bus.publish_endpoint_list(server_list);
 
     let mut client = proxy.connect();
     while health_status(&mut client) != 200 {
@@ -97,7 +97,7 @@
     let mut unreadable_entry = cache_entry(&proxy.caches[1], "melting");
     unreadable_entry["uid"] = "s-0c".into();
 
-    proxy.event_bus.publish_server_changes(vec![
+    proxy.event_bus.publish_endpoint_changes(vec![
         unreadable_entry,
         cache_entry(draining, server_state::DRAINING),
     ]);
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -102,7 +102,7 @@
     assert_eq!(health_status(&mut client), 503);
 
     let origin = origin_entry(&proxy.origin, server_state::READY);
-    proxy.event_bus.publish_server_list(vec![origin]);
+    proxy.event_bus.publish_endpoint_list(vec![origin]);
     // Until the event has come: only the test runner bounds this.
     while health_status(&mut client) != 200 {}
     proxy.shut_down();
--- a/crates/proxy/tests/upstream_connections.rs
+++ b/crates/proxy/tests/upstream_connections.rs
@@ -22,7 +22,7 @@
     assert_eq!(response.status, 200);
 
     let successor = proxy.caches[0].successor_at_same_address("s-0b");
-    proxy.event_bus.publish_server_changes(vec![
+    proxy.event_bus.publish_endpoint_changes(vec![
         cache_entry(&proxy.caches[0], server_state::GONE),
         cache_entry(&successor, server_state::READY),
     ]);
@@ -53,7 +53,7 @@
     removed.wait_for_fetch().unwrap();
 
     let entry = cache_entry(removed, server_state::GONE);
-    proxy.event_bus.publish_server_changes(vec![entry]);
+    proxy.event_bus.publish_endpoint_changes(vec![entry]);
 
     for _ in 1..=REQUESTS {
         assert_eq!(
--- a/crates/testkit/examples/fake_caches.rs
+++ b/crates/testkit/examples/fake_caches.rs
@@ -1,5 +1,5 @@
-//! The servers of `examples/config.json`, for a first try of the proxy: two caches and an origin,
-//! until this program is stopped.
+//! Runs the servers of `examples/config.json`, two cache servers and an origin, to try out the
+//! proxy. Runs until it is stopped.
 
 use edge_testkit::fake_cache::FakeCacheServer;
 
@@ -12,7 +12,7 @@
 fn main() -> std::io::Result<()> {
     for (id, address) in SERVERS {
         let server = FakeCacheServer::start_at(id, address)?;
-        println!("{} serves on {}", server.id, server.address);
+        println!("fake server {} listens on {}", server.id, server.address);
     }
     loop {
         std::thread::park();
--- a/crates/testkit/src/fake_cache.rs
+++ b/crates/testkit/src/fake_cache.rs
@@ -1,5 +1,5 @@
-//! Fake cache servers: they keep copies, honour the age limit of a request, and record every
-//! command.
+//! Fake cache servers, which keep copies, respect the largest acceptable age in a request, and
+//! record every command.
 
 use crate::received_command::ReceivedCommand;
 use crate::{listen, ANY_LOOPBACK_PORT, MAX_MESSAGE_BYTES, READ_CHUNK_BYTES, TEST_TIMEOUT};
@@ -11,21 +11,22 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a cache server treats the requests to come.
+/// How a fake cache server responds to requests that it has not received yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
-    /// Delay of each response.
+    /// Delay of each response in milliseconds.
     pub response_delay_ms: u64,
-    /// Bytes that each response body holds in addition to the object's name and time.
+    /// Number of padding bytes in each response body, before the copy's key and creation time.
     pub padding_bytes: usize,
-    /// Sends no response.
+    /// Whether the server receives requests but sends no response.
     pub unresponsive: bool,
-    /// Serves copies older than the request allows, and claims that they are new.
+    /// Whether the server serves copies that are older than the request allows, and reports them as
+    /// new.
     pub ignores_max_age: bool,
 }
 
 impl Behavior {
-    /// Responds after a delay.
+    /// Returns the behavior of responding after a delay.
     pub fn delayed(response_delay_ms: u64) -> Self {
         Behavior {
             response_delay_ms,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Responds with large bodies.
+    /// Returns the behavior of responding with padded bodies.
     pub fn padded(padding_bytes: usize) -> Self {
         Behavior {
             padding_bytes,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Does not respond.
+    /// Returns the behavior of sending no response.
     pub fn unresponsive() -> Self {
         Behavior {
             unresponsive: true,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Serves stale copies as if they were new.
+    /// Returns the behavior of serving copies of any age as if they were new.
     pub fn ignoring_max_age() -> Self {
         Behavior {
             ignores_max_age: true,
@@ -62,7 +63,7 @@
 struct State {
     behavior: Behavior,
     received: Vec<ReceivedCommand>,
-    /// When the kept copy of each part left the origin.
+    /// When each stored copy was created, as a Unix time in milliseconds, by copy key.
     copies_created_at_ms: BTreeMap<String, u64>,
     accepted_connections: usize,
     closed_connections: usize,
@@ -77,20 +78,20 @@
 /// A fake cache server. Clones are handles to the same server.
 #[derive(Clone)]
 pub struct FakeCacheServer {
-    /// Its id in the server list.
+    /// The server's id in the endpoint list.
     pub id: &'static str,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl FakeCacheServer {
-    /// Starts a server on a port of its own.
+    /// Starts a server on a free port.
     pub fn start(id: &'static str) -> io::Result<Self> {
         Self::start_at(id, ANY_LOOPBACK_PORT)
     }
 
-    /// Starts a server at an address.
+    /// Starts a server that listens on an address.
     pub fn start_at(id: &'static str, address: &str) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
         let serving = shared.clone();
@@ -112,34 +113,35 @@
         })
     }
 
-    /// The same server under another id: one that has taken over the address.
+    /// Returns a handle to the same server under another id. It stands for a server that has taken
+    /// over this one's address.
     pub fn successor_at_same_address(&self, id: &'static str) -> Self {
         FakeCacheServer { id, ..self.clone() }
     }
 
-    /// Changes how it treats the requests to come.
+    /// Sets how the server responds to requests that it has not received yet.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.state().behavior = behavior;
     }
 
-    /// Number of connections that it has accepted.
+    /// Returns the number of connections that the server has accepted.
     pub fn accepted_connections(&self) -> usize {
         self.state().accepted_connections
     }
 
-    /// Number of connections to it that are open.
+    /// Returns the number of open connections to the server.
     pub fn open_connections(&self) -> usize {
         let state = self.state();
         state.accepted_connections - state.closed_connections
     }
 
-    /// Every command that it has received.
+    /// Returns every command that the server has received.
     pub fn received(&self) -> Vec<ReceivedCommand> {
         self.state().received.clone()
     }
 
-    /// Waits until it has received a command that matches; none has come within [`TEST_TIMEOUT`] if
-    /// this returns `None`.
+    /// Waits until the server has received a matching command, and returns the first such command.
+    /// Returns None if none arrives within [`TEST_TIMEOUT`].
     pub fn wait_for_command(
         &self,
         matches: impl Fn(&ReceivedCommand) -> bool,
@@ -155,12 +157,12 @@
         command.cloned()
     }
 
-    /// Waits until it has received any fetch, like [`Self::wait_for_command`].
+    /// Waits until the server has received any fetch; see [`Self::wait_for_command`].
     pub fn wait_for_fetch(&self) -> Option<ReceivedCommand> {
         self.wait_for_command(ReceivedCommand::is_fetch)
     }
 
-    /// Waits until it has received a command for an object, like [`Self::wait_for_command`].
+    /// Waits until the server has received a command for an object; see [`Self::wait_for_command`].
     pub fn wait_for_request_of(&self, object_key: &str) -> Option<ReceivedCommand> {
         self.wait_for_command(|command| command.object_key() == Some(object_key))
     }
@@ -170,15 +172,15 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves a connection until it closes or sends what is no command.
+    /// Serves a connection until it closes or sends invalid input.
     fn serve(&self, mut socket: TcpStream) -> Option<()> {
-        let mut arrays = resp::ArrayParser::new(MAX_MESSAGE_BYTES);
+        let mut array_parser = resp::ArrayParser::new(MAX_MESSAGE_BYTES);
         let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             let length = socket.read(&mut chunk).ok().filter(|length| *length > 0)?;
             let mut input = &chunk[..length];
             while !input.is_empty() {
-                let (consumed, array) = arrays.parse(input).ok()?;
+                let (consumed, array) = array_parser.parse(input).ok()?;
                 input = &input[consumed..];
                 if let Some(array) = array {
                     self.handle(ReceivedCommand::from_array(&array), &socket);
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Records a command and responds to it as the current behavior says.
+    /// Records a command, and responds to a fetch according to the current behavior.
     fn handle(&self, command: ReceivedCommand, socket: &TcpStream) {
         let mut state = self.state();
         state.received.push(command.clone());
@@ -203,7 +205,7 @@
         };
         let mut respond = move || {
             thread::sleep(Duration::from_millis(behavior.response_delay_ms));
-            // A proxy that has closed the connection meanwhile wants no response.
+            // A write error means that the proxy has closed the connection and needs no response.
             let _ = socket.write_all(&encode_response(&command, copy, behavior));
         };
         if behavior.response_delay_ms > 0 {
@@ -214,28 +216,30 @@
     }
 }
 
-/// The copy that a response brings.
+/// The copy that a response contains.
 #[derive(Clone, Copy)]
 struct ServedCopy {
+    /// Unix time in milliseconds.
     created_at_ms: u64,
-    /// Whether the server had it, and did not fetch it for this request.
+    /// Whether the copy was stored before the request, and not filled for it.
     was_cached: bool,
 }
 
 impl State {
-    /// The copy for a request: the kept one if it is new enough, else one that is created now.
+    /// Returns the stored copy if it is new enough for the request. Otherwise stores and returns a
+    /// copy that is created at the time of the request.
     fn copy_for(&mut self, command: &ReceivedCommand) -> ServedCopy {
-        let part_name = command.part_name();
+        let copy_key = command.copy_key();
         let is_fresh = |created_at_ms: &u64| {
             self.behavior.ignores_max_age
                 || command
                     .max_age_ms()
                     .is_none_or(|max_age_ms| created_at_ms + max_age_ms >= command.received_at_ms)
         };
-        let cached = self.copies_created_at_ms.get(&part_name).copied();
+        let cached = self.copies_created_at_ms.get(&copy_key).copied();
         let cached = cached.filter(is_fresh);
         let created_at_ms = cached.unwrap_or(command.received_at_ms);
-        self.copies_created_at_ms.insert(part_name, created_at_ms);
+        self.copies_created_at_ms.insert(copy_key, created_at_ms);
         ServedCopy {
             created_at_ms,
             was_cached: cached.is_some(),
@@ -245,15 +249,15 @@
 
 fn encode_response(command: &ReceivedCommand, copy: ServedCopy, behavior: Behavior) -> Vec<u8> {
     let created_at_ms = copy.created_at_ms;
-    let claimed_ms = if behavior.ignores_max_age {
+    let reported_created_at_ms = if behavior.ignores_max_age {
         command.received_at_ms
     } else {
         created_at_ms
     };
     let source = if copy.was_cached { "local" } else { "pulled" };
-    let fields = format!("how={source},ttfb=1,made={claimed_ms},etag=t{created_at_ms}");
+    let fields = format!("how={source},ttfb=1,made={reported_created_at_ms},etag=t{created_at_ms}");
     let padding = ".".repeat(behavior.padding_bytes);
-    let body = format!("{padding}{}@{created_at_ms}", command.part_name());
+    let body = format!("{padding}{}@{created_at_ms}", command.copy_key());
     let mut out = Vec::new();
     resp::write_array(
         &mut out,
--- a/crates/testkit/src/fake_consul.rs
+++ b/crates/testkit/src/fake_consul.rs
@@ -1,4 +1,5 @@
-//! A fake Consul agent: the health and catalogue endpoints of one service, with blocking queries.
+//! A fake Consul agent, which serves the health and catalogue endpoints of one service and supports
+//! blocking queries.
 
 use crate::fake_cache::FakeCacheServer;
 use crate::http_client::read_head;
@@ -10,26 +11,26 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long a blocking query waits for a change.
+/// Longest time that a blocking query waits for a change.
 const BLOCKING_QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An instance of the service.
+/// A registered instance of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConsulInstance {
-    /// Service id.
+    /// Id of the instance.
     pub id: &'static str,
-    /// Where it serves.
+    /// Address on which the instance listens.
     pub address: SocketAddr,
-    /// Zone, from its metadata.
+    /// Zone, as in the instance's metadata.
     pub zone: &'static str,
-    /// Kind of server, from its metadata.
+    /// Server kind, as in the instance's metadata.
     pub kind: &'static str,
-    /// Status of its health check: `passing`, `warning` or `critical`.
+    /// Status of the instance's health check: `passing`, `warning` or `critical`.
     pub check_status: &'static str,
 }
 
 impl ConsulInstance {
-    /// An instance for a cache server in the proxy's zone.
+    /// Returns an instance for a cache server in the proxy's zone.
     pub fn for_cache(server: &FakeCacheServer, check_status: &'static str) -> Self {
         ConsulInstance {
             id: server.id,
@@ -63,7 +64,8 @@
 }
 
 struct State {
-    /// Raised with every change; a blocking query names the one that it knows.
+    /// Index of the state, which each change increments. A blocking query names the last index that
+    /// its client knows.
     index: u64,
     instances: Vec<ConsulInstance>,
 }
@@ -73,16 +75,16 @@
     changed: Condvar,
 }
 
-/// A Consul agent that knows one service. Clones are handles to the same agent.
+/// A Consul agent for one service. Clones are handles to the same agent.
 #[derive(Clone)]
 pub struct FakeConsul {
-    /// Where it listens.
+    /// Address on which the agent listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl FakeConsul {
-    /// Starts an agent that knows no instance.
+    /// Starts an agent without registered instances.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
@@ -110,7 +112,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until there is news behind an index, or until the query times out.
+    /// Waits until the state's index is larger than `known_index`, or until
+    /// [`BLOCKING_QUERY_TIMEOUT`] has passed.
     fn wait_for_change(&self, known_index: u64) -> MutexGuard<'_, State> {
         let waited =
             self.changed
@@ -121,7 +124,7 @@
     }
 }
 
-/// Answers the one query of a connection.
+/// Answers one query and closes the connection.
 fn serve(shared: &Shared, mut socket: TcpStream) -> io::Result<()> {
     let head = read_head(&mut socket)?;
     let target = head.split(' ').nth(1).unwrap_or("");
--- a/crates/testkit/src/fake_event_bus.rs
+++ b/crates/testkit/src/fake_event_bus.rs
@@ -1,4 +1,4 @@
-//! A fake event bus: streams server lists and purges to the proxy as server-sent events.
+//! A fake event bus, which streams endpoint lists and purges to the proxy as server-sent events.
 
 use crate::fake_cache::FakeCacheServer;
 use crate::http_client::read_head;
@@ -10,25 +10,25 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often the bus sends a comment where there is no event.
+/// Interval at which the bus sends a comment while there are no new events.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// States of a server in the server list, as they are on the wire.
+/// The states of a server in the endpoint list, as in messages.
 pub mod server_state {
-    /// It takes requests.
+    /// The server accepts requests.
     pub const READY: &str = "ready";
-    /// It takes no new requests.
+    /// The server accepts no new requests.
     pub const DRAINING: &str = "draining";
-    /// It has left the deployment.
+    /// The server has left the deployment.
     pub const GONE: &str = "gone";
 }
 
-/// The server list's entry of a cache server in the proxy's zone.
+/// Returns the endpoint list entry for a cache server in the proxy's zone.
 pub fn cache_entry(server: &FakeCacheServer, state: &str) -> Value {
     server_entry(server, LOCAL_ZONE, CACHE_KIND, state)
 }
 
-/// The server list's entry of the origin.
+/// Returns the endpoint list entry for the origin.
 pub fn origin_entry(server: &FakeCacheServer, state: &str) -> Value {
     server_entry(server, HUB_ZONE, ORIGIN_KIND, state)
 }
@@ -49,11 +49,11 @@
 #[derive(Default)]
 struct State {
     events: Vec<Value>,
-    /// The event number behind which each subscription reads on.
-    subscriptions: Vec<u64>,
+    /// The number of the last event that each subscriber had already received when it subscribed.
+    subscription_offsets: Vec<u64>,
     ended_subscriptions: usize,
-    /// How often all subscribers were disconnected.
-    disconnects: usize,
+    /// Number of times that all subscribers were disconnected.
+    disconnect_count: usize,
 }
 
 #[derive(Default)]
@@ -65,7 +65,7 @@
 /// An event bus that numbers its events from 1. Clones are handles to the same bus.
 #[derive(Clone)]
 pub struct FakeEventBus {
-    /// Where it listens.
+    /// Address on which the bus listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -83,28 +83,29 @@
         Ok(FakeEventBus { address, shared })
     }
 
-    /// Publishes the complete server list.
-    pub fn publish_server_list(&self, entries: Vec<Value>) {
+    /// Publishes the complete endpoint list.
+    pub fn publish_endpoint_list(&self, entries: Vec<Value>) {
         self.publish(json!({"topology": {"rev": 1, "all": true, "targets": entries}}));
     }
 
-    /// Publishes the entries of servers that have changed.
-    pub fn publish_server_changes(&self, entries: Vec<Value>) {
+    /// Publishes the endpoint list entries of servers that have changed.
+    pub fn publish_endpoint_changes(&self, entries: Vec<Value>) {
         self.publish(json!({"topology": {"rev": 1, "all": false, "targets": entries}}));
     }
 
-    /// Publishes a purge of the copies of an object that are older than a Unix time in
+    /// Publishes a purge of all copies of an object that were created before a Unix time in
     /// milliseconds.
     pub fn publish_object_purge(&self, object_key: &str, purged_at_ms: u64) {
         self.publish(json!({"ban": {"url": object_key, "ts": purged_at_ms}}));
     }
 
-    /// Publishes a purge of all copies with a tag that are older than a Unix time in milliseconds.
+    /// Publishes a purge of all copies with a tag that were created before a Unix time in
+    /// milliseconds.
     pub fn publish_tag_purge(&self, tag: u64, purged_at_ms: u64) {
         self.publish(json!({"ban": {"tag": tag, "ts": purged_at_ms}}));
     }
 
-    /// Publishes an event, which gets the next number.
+    /// Publishes an event under the next event number.
     fn publish(&self, mut event: Value) {
         self.shared.update(|state| {
             event["offset"] = (state.events.len() + 1).into();
@@ -112,39 +113,41 @@
         });
     }
 
-    /// Ends the connections of all subscribers.
+    /// Disconnects all subscribers without waiting until their connections are closed.
     pub fn disconnect_subscribers(&self) {
-        self.shared.update(|state| state.disconnects += 1);
+        self.shared.update(|state| state.disconnect_count += 1);
     }
 
-    /// Ends the connections of all subscribers, and waits until they are closed.
+    /// Disconnects all subscribers and waits until their connections are closed, for at most
+    /// [`TEST_TIMEOUT`].
     pub fn disconnect_subscribers_and_wait(&self) {
         self.disconnect_subscribers();
         let shared = &self.shared;
         let waited = shared
             .changed
             .wait_timeout_while(shared.lock(), TEST_TIMEOUT, |state| {
-                state.ended_subscriptions < state.subscriptions.len()
+                state.ended_subscriptions < state.subscription_offsets.len()
             });
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Number of subscriptions so far.
+    /// Returns the number of subscriptions so far, including those that have ended.
     pub fn subscription_count(&self) -> usize {
-        self.shared.lock().subscriptions.len()
+        self.shared.lock().subscription_offsets.len()
     }
 
-    /// Waits for a subscription, by its index from 0. Returns the number of the event behind which
-    /// it reads on; the subscription has not come within [`TEST_TIMEOUT`] if this returns `None`.
+    /// Waits for the subscription with an index, counted from 0. Returns the number of the last
+    /// event that the subscriber had already received, or None if there is no such subscription
+    /// within [`TEST_TIMEOUT`].
     pub fn wait_for_subscription(&self, index: usize) -> Option<u64> {
         let shared = &self.shared;
         let waited = shared
             .changed
             .wait_timeout_while(shared.lock(), TEST_TIMEOUT, |state| {
-                state.subscriptions.len() <= index
+                state.subscription_offsets.len() <= index
             });
         let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-        state.subscriptions.get(index).copied()
+        state.subscription_offsets.get(index).copied()
     }
 }
 
@@ -158,39 +161,40 @@
         self.changed.notify_all();
     }
 
-    /// Streams events to a subscriber until all are disconnected.
+    /// Streams events to a subscriber until all subscribers are disconnected.
     fn serve(&self, mut socket: TcpStream) -> io::Result<()> {
         let head = read_head(&mut socket)?.to_lowercase();
-        let mut sent = head
+        let mut sent_count = head
             .lines()
             .find_map(|line| line.strip_prefix("last-event-id:"))
             .and_then(|value| value.trim().parse().ok())
             .unwrap_or(0usize);
-        let mut disconnects_before = 0;
+        let mut disconnect_count_before = 0;
         self.update(|state| {
-            state.subscriptions.push(sent as u64);
-            disconnects_before = state.disconnects;
+            state.subscription_offsets.push(sent_count as u64);
+            disconnect_count_before = state.disconnect_count;
         });
         socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
         loop {
             let waited =
                 self.changed
                     .wait_timeout_while(self.lock(), KEEP_ALIVE_INTERVAL, |state| {
-                        state.events.len() <= sent && state.disconnects == disconnects_before
+                        state.events.len() <= sent_count
+                            && state.disconnect_count == disconnect_count_before
                     });
             let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            if state.disconnects != disconnects_before {
+            if state.disconnect_count != disconnect_count_before {
                 return Ok(());
             }
-            let out = encode_events(&state.events, sent);
-            sent = state.events.len();
+            let out = encode_events(&state.events, sent_count);
+            sent_count = state.events.len();
             drop(state);
             socket.write_all(out.as_bytes())?;
         }
     }
 }
 
-/// A comment that keeps the connection alive, and all events behind those sent before.
+/// Encodes a comment, which keeps the connection alive, and all events that were not sent yet.
 fn encode_events(events: &[Value], already_sent: usize) -> String {
     let mut out = ":\n\n".to_owned();
     for (index, event) in events.iter().enumerate().skip(already_sent) {
--- a/crates/testkit/src/fastcgi_client.rs
+++ b/crates/testkit/src/fastcgi_client.rs
@@ -1,4 +1,4 @@
-//! A client of the proxy's FastCGI interface, as a web server is one.
+//! A client for the proxy's FastCGI interface, which web servers use.
 
 use crate::sample_deployment::WRITE_CLASS;
 use crate::{Response, READ_CHUNK_BYTES, TEST_TIMEOUT};
@@ -18,16 +18,16 @@
 /// Idempotency key of the writes that [`FastCgiClient::request_object`] sends.
 pub const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-/// Length of the empty record with which an encoded request ends. Without it the request is not
-/// complete.
+/// Length of the empty STDIN record at the end of an encoded request. The request is incomplete
+/// without this record.
 pub const END_OF_INPUT_BYTES: usize = 8;
 
-/// One FastCGI connection to the proxy.
+/// A FastCGI connection to the proxy.
 pub struct FastCgiClient {
     socket: TcpStream,
-    records: RecordParser,
+    record_parser: RecordParser,
     input: Vec<u8>,
-    /// Output received so far, by request id.
+    /// The output of each unfinished request so far, by request id.
     partial_responses: HashMap<u16, Vec<u8>>,
 }
 
@@ -38,13 +38,13 @@
         socket.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(FastCgiClient {
             socket,
-            records: RecordParser::default(),
+            record_parser: RecordParser::default(),
             input: Vec::new(),
             partial_responses: HashMap::new(),
         })
     }
 
-    /// Encodes a request that keeps the connection open after its response.
+    /// Encodes a request that asks the proxy to keep the connection open after the response.
     pub fn encode_request(
         request_id: u16,
         path: &str,
@@ -54,7 +54,7 @@
         Self::encode_request_with_flags(request_id, fastcgi::KEEP_CONN, path, params, body)
     }
 
-    /// Encodes a request with the given flags of its BEGIN_REQUEST record.
+    /// Encodes a request with the given flags in its BEGIN_REQUEST record.
     pub fn encode_request_with_flags(
         request_id: u16,
         flags: u8,
@@ -85,7 +85,7 @@
         self.socket.write_all(bytes)
     }
 
-    /// Requests a part of an object. Requests of [`WRITE_CLASS`] carry [`WRITE_BODY`] and
+    /// Requests an object. Requests of [`WRITE_CLASS`] carry [`WRITE_BODY`] and
     /// [`IDEMPOTENCY_KEY`].
     pub fn request_object(
         &mut self,
@@ -112,7 +112,7 @@
         self.send(&Self::encode_request(request_id, &path, &params, body))
     }
 
-    /// Requests a health check.
+    /// Sends a health check.
     pub fn request_health_check(&mut self, request_id: u16) -> io::Result<()> {
         self.send(&Self::encode_request(
             request_id,
@@ -122,18 +122,19 @@
         ))
     }
 
-    /// Aborts a request.
+    /// Sends the abort of a request.
     pub fn abort(&mut self, request_id: u16) -> io::Result<()> {
         let mut out = Vec::new();
         fastcgi::write_record(&mut out, record_type::ABORT_REQUEST, request_id, &[]);
         self.send(&out)
     }
 
-    /// Waits until any request ends. Returns its id and its response; an aborted request has none.
+    /// Waits until any request ends. Returns its id and its response, which is None if the request
+    /// ended without output, as an aborted request does.
     pub fn next_response(&mut self) -> io::Result<(u16, Option<Response>)> {
         loop {
             let (consumed, record) = self
-                .records
+                .record_parser
                 .parse(&self.input)
                 .map_err(|error| invalid_data(error.to_string()))?;
             self.input.drain(..consumed);
@@ -170,12 +171,13 @@
     io::Error::new(io::ErrorKind::InvalidData, message.into())
 }
 
-/// Parses a CGI response: a head in which `Status` is a header, an empty line, and the body.
+/// Parses a CGI response, which consists of a head with a `Status` header, an empty line and the
+/// body.
 fn parse_cgi_response(bytes: &[u8]) -> io::Result<Response> {
     let head_length = bytes
         .windows(4)
         .position(|window| window == b"\r\n\r\n")
-        .ok_or_else(|| invalid_data("the head of a CGI response does not end"))?;
+        .ok_or_else(|| invalid_data("CGI response has no empty line after its head"))?;
     let head = String::from_utf8_lossy(&bytes[..head_length]).into_owned();
     let headers: Vec<_> = head
         .lines()
@@ -186,7 +188,7 @@
         .iter()
         .find(|(name, _)| name == "status")
         .and_then(|(_, value)| value.split(' ').next()?.parse().ok())
-        .ok_or_else(|| invalid_data("a CGI response has no status"))?;
+        .ok_or_else(|| invalid_data("CGI response has no valid Status header"))?;
     Ok(Response {
         status,
         headers,
--- a/crates/testkit/src/http_client.rs
+++ b/crates/testkit/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A client of the proxy's HTTP interface, as a peer CDN is one.
+//! An HTTP client for the proxy's interconnect interface, which peer CDNs use.
 
 use crate::{Response, MAX_MESSAGE_BYTES, READ_CHUNK_BYTES, TEST_TIMEOUT};
 use edge_proxy::protocol::http::{write_message, Head, MessageParser, Piece};
@@ -6,10 +6,11 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Largest head of a message.
+/// Largest message head that a client or fake accepts.
 pub(crate) const MAX_HEAD_BYTES: usize = 1 << 16;
 
-/// Sends one request on a connection of its own, which the server closes after its response.
+/// Sends one request on a new connection and returns the response. The request asks the server to
+/// close the connection after the response.
 pub fn request(server: SocketAddr, method: &str, target: &str, body: &str) -> io::Result<Response> {
     let mut out = Vec::new();
     let request_line = format!("{method} {target} HTTP/1.1");
@@ -18,8 +19,8 @@
     exchange(server, &out)
 }
 
-/// Sends raw bytes on a connection of its own and reads the one response to them, until the server
-/// closes.
+/// Sends raw bytes on a new connection and reads one response. Reads until the server closes the
+/// connection, to detect bytes after the response.
 pub fn exchange(server: SocketAddr, bytes: &[u8]) -> io::Result<Response> {
     let mut socket = TcpStream::connect(server)?;
     socket.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -29,7 +30,7 @@
     let status = message
         .head
         .status()
-        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "a response without a status"))?;
+        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "HTTP response has no status"))?;
     Ok(Response {
         status,
         headers: message.head.headers,
@@ -38,12 +39,12 @@
     })
 }
 
-/// How far [`read_message`] reads.
+/// Where [`read_message`] stops reading.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadUntil {
-    /// Until the message is complete.
+    /// At the end of the message.
     MessageEnds,
-    /// Until the other side closes, to see whether anything follows the message.
+    /// At the end of the connection, to detect bytes after the message.
     ConnectionCloses,
 }
 
@@ -51,11 +52,11 @@
 pub(crate) struct Message {
     pub(crate) head: Head,
     pub(crate) body: Vec<u8>,
-    /// Whether bytes followed the message.
+    /// Whether bytes followed the end of the message.
     pub(crate) has_surplus_bytes: bool,
 }
 
-/// Reads one message. It is an error if the connection closes before the message is complete.
+/// Reads one message. Returns an error if the connection closes before the message is complete.
 pub(crate) fn read_message(
     socket: &mut TcpStream,
     parser: &mut MessageParser,
@@ -85,7 +86,7 @@
     }
 }
 
-/// What has been read of a message.
+/// The parts of a message that have been read so far.
 #[derive(Default)]
 struct PartialMessage {
     head: Option<Head>,
@@ -104,6 +105,7 @@
         }
     }
 
+    /// Returns the message, or an error if it is incomplete.
     fn finish(self) -> io::Result<Message> {
         let head = self.head.filter(|_| self.is_complete);
         Ok(Message {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Reads the head of an HTTP request, and nothing behind it.
+/// Reads the head of an HTTP request, and no byte after it.
 pub(crate) fn read_head(socket: &mut TcpStream) -> io::Result<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the tests of the edge proxy run it with.
+//! Test support for the edge proxy.
 //!
-//! - Fakes of its surroundings on loopback: [`fake_cache`], [`scripted_server`],
-//!   [`fake_event_bus`], [`fake_consul`] and [`fake_peer_cdn`].
-//! - Clients: [`fastcgi_client`] for web servers, [`http_client`] for peer CDNs.
-//! - [`proxy_fixture`]: the proxy inside a test, with the fakes around it.
-//! - The deployment that all of them belong to: [`sample_deployment`].
-//! - A scenario that runs the real program through a purge, a drain and a shutdown and reports
-//!   every rule that it violates: [`run_scenario`].
+//! - [`fake_cache`], [`scripted_server`], [`fake_event_bus`], [`fake_consul`] and [`fake_peer_cdn`]
+//!   are fakes of the systems around the proxy. They listen on loopback.
+//! - [`fastcgi_client`] sends requests as a web server does, [`http_client`] as a peer CDN does.
+//! - [`proxy_fixture`] runs the proxy's event loop and the fakes inside a test.
+//! - [`sample_deployment`] defines the deployment that all of them share.
+//! - [`run_scenario`] runs the proxy program through a purge, a drain and a shutdown, and reports
+//!   every violation of a rule.
 
 pub mod fake_cache;
 pub mod fake_consul;
@@ -33,20 +33,21 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How long a test waits for anything before it fails.
+/// How long a test waits for any single event before it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A loopback address with a port that the system chooses.
+/// A loopback address with port 0, for which the operating system chooses a free port.
 pub(crate) const ANY_LOOPBACK_PORT: &str = "127.0.0.1:0";
 
-/// Largest frame or message that a fake reads.
+/// Largest message that a fake or a client reads.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Size of the pieces in which the fakes and clients read from sockets.
+/// Size of the buffer with which fakes and clients read from sockets.
 pub(crate) const READ_CHUNK_BYTES: usize = 4096;
 
-/// Listens at an address and serves each connection on a thread of its own. What `serve` returns is
-/// ignored: a failed connection shows at its client.
+/// Listens on an address, serves each connection on a thread of its own, and returns the address
+/// with its actual port. The result of `serve` is ignored, because the client notices if its
+/// connection fails.
 pub(crate) fn listen<T>(
     address: &str,
     serve: impl Fn(TcpStream) -> T + Clone + Send + 'static,
@@ -64,7 +65,7 @@
     Ok(address)
 }
 
-/// The current Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/testkit/src/proxy_fixture.rs
+++ b/crates/testkit/src/proxy_fixture.rs
@@ -1,8 +1,8 @@
-//! The proxy's event loop in the process of a test, with fakes around it.
+//! Runs the proxy's event loop and the fakes around it in the process of a test.
 //!
-//! The functions here panic instead of returning errors: a test has no other use for them. Where
-//! the order of events matters, a test pauses the event loop, arranges what is to happen at once,
-//! and resumes it.
+//! Most functions panic on errors, because a test would do nothing else with them. If the order of
+//! events matters, a test pauses the event loop, causes events that the proxy is to see at the same
+//! time, and resumes the event loop.
 
 use crate::fake_cache::FakeCacheServer;
 use crate::fake_event_bus::{cache_entry, origin_entry, server_state, FakeEventBus};
@@ -22,28 +22,28 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 
-/// Budget of a request that is answered at once, or after a short delay.
+/// Time budget of a request that is answered immediately or after a short delay.
 pub const REQUEST_BUDGET_MS: u64 = 2500;
-/// Budget of a request that must not run out of time during a test.
+/// Time budget of a request that must not run out of time during a test.
 pub const LONG_BUDGET_MS: u64 = 60_000;
-/// Budget of a request that is to run out of time.
+/// Time budget of a request that is meant to run out of time.
 pub const SHORT_BUDGET_MS: u64 = 300;
-/// A time limit that must not be reached during a test.
+/// A timeout that must not be reached during a test.
 pub const LONG_TIMEOUT_US: u64 = 60_000_000;
 
-/// A proxy on loopback, and the fakes around it.
+/// A proxy on loopback and the fakes around it.
 pub struct ProxyFixture {
-    /// Where FastCGI clients connect.
+    /// Address on which the proxy accepts FastCGI clients.
     pub fastcgi_address: SocketAddr,
-    /// Where peer CDNs connect.
+    /// Address on which the proxy accepts peer CDNs.
     pub interconnect_address: SocketAddr,
-    /// Does to the event loop what the signals do.
+    /// Stops or reloads the event loop, as signals to the proxy's process do.
     pub control: ControlHandle,
-    /// What the proxy reads as its configuration file when it reloads.
+    /// The content of the configuration file that the proxy reads when it reloads.
     pub config_file: Arc<Mutex<Value>>,
     /// The event bus that the proxy subscribes to.
     pub event_bus: FakeEventBus,
-    /// The cache servers, in the order of their ids.
+    /// The cache servers, in the order of the ids in [`ProxyFixtureBuilder::caches`].
     pub caches: Vec<FakeCacheServer>,
     /// The origin.
     pub origin: FakeCacheServer,
@@ -57,7 +57,7 @@
         Self::builder().start()
     }
 
-    /// Describes a proxy that differs from that of [`ProxyFixture::start`].
+    /// Returns a builder, whose defaults are those of [`ProxyFixture::start`].
     pub fn builder<'a>() -> ProxyFixtureBuilder<'a> {
         ProxyFixtureBuilder {
             cache_ids: &["s-0a"],
@@ -71,64 +71,68 @@
 
     /// Connects a FastCGI client.
     pub fn connect(&self) -> FastCgiClient {
-        FastCgiClient::connect(self.fastcgi_address).expect("the proxy accepts connections")
+        FastCgiClient::connect(self.fastcgi_address).expect("failed to connect to the proxy")
     }
 
-    /// Pauses the event loop. What happens until it is resumed, the proxy sees at once.
+    /// Pauses the event loop. The proxy sees all events of the pause at once, after it is resumed.
     pub fn pause(&mut self) -> PausedEventLoop {
         let (paused, is_paused) = channel();
         let (resume, resumed) = channel();
         self.pause_gate
             .request_pause(PauseRequest { paused, resumed });
-        self.control.reload().expect("the event loop runs");
-        is_paused.recv().expect("the event loop reloads");
+        self.control.reload().expect("failed to request a reload");
+        is_paused
+            .recv()
+            .expect("event loop ended before it reloaded");
         PausedEventLoop { resume }
     }
 
-    /// Has the proxy shut down as by SIGTERM, and waits until the grace period is over in which
-    /// idle clients keep their connections.
+    /// Starts a shutdown as SIGTERM does, and waits until the grace period is over in which idle
+    /// clients keep their connections.
     pub fn shut_down_past_grace_period(&mut self) {
         let mut idle_client = self.connect();
         health_status(&mut idle_client);
-        self.control.stop().expect("the event loop runs");
-        let end = idle_client.next_response().expect_err("no response is due");
-        assert_eq!(end.kind(), ErrorKind::UnexpectedEof);
+        self.control.stop().expect("failed to request a shutdown");
+        let error = idle_client
+            .next_response()
+            .expect_err("response without a request");
+        assert_eq!(error.kind(), ErrorKind::UnexpectedEof);
     }
 
-    /// Has the proxy shut down as by SIGTERM, and waits until it has.
+    /// Shuts the proxy down as SIGTERM does, and waits until it has exited without an error.
     pub fn shut_down(mut self) {
-        self.control.stop().expect("the event loop runs");
+        self.control.stop().expect("failed to request a shutdown");
         self.wait_for_exit();
     }
 
-    /// Waits until a proxy that shuts down has ended without an error.
+    /// Waits until a proxy that is shutting down has exited without an error.
     pub fn wait_for_exit(self) {
-        let result = self.event_loop.join().expect("the event loop panicked");
-        result.expect("the event loop failed");
+        let result = self.event_loop.join().expect("event loop panicked");
+        result.expect("event loop returned an error");
     }
 }
 
-/// A paused event loop. It goes on when this is dropped.
-#[must_use = "the event loop goes on when this is dropped"]
+/// A paused event loop, which resumes when this is dropped.
+#[must_use = "the event loop resumes when this is dropped"]
 pub struct PausedEventLoop {
     resume: Sender<()>,
 }
 
 impl PausedEventLoop {
-    /// Has the event loop go on.
+    /// Resumes the event loop.
     pub fn resume(self) {
         drop(self.resume);
     }
 }
 
-/// Where the event loop is paused: it reads its configuration through this.
+/// Pauses the event loop while it reads its configuration for a reload.
 #[derive(Clone, Default)]
 struct PauseGate(Arc<Mutex<Option<PauseRequest>>>);
 
 struct PauseRequest {
-    /// Tells the test that the event loop is paused.
+    /// Notifies the test that the event loop is paused.
     paused: Sender<()>,
-    /// Disconnected when the event loop is to go on; nothing is ever sent.
+    /// Disconnects when the event loop is to resume. Nothing is ever sent.
     resumed: Receiver<()>,
 }
 
@@ -141,12 +145,15 @@
         let request = self.0.lock().unwrap().take();
         if let Some(request) = request {
             request.paused.send(()).unwrap();
-            assert!(request.resumed.recv().is_err(), "nothing is ever sent");
+            assert!(
+                request.resumed.recv().is_err(),
+                "message on a channel that is only to be disconnected"
+            );
         }
     }
 }
 
-/// Describes a proxy and its surroundings.
+/// Configures a proxy and the fakes around it.
 pub struct ProxyFixtureBuilder<'a> {
     cache_ids: &'a [&'static str],
     scripted_server: Option<&'a ScriptedServer>,
@@ -157,41 +164,41 @@
 }
 
 impl<'a> ProxyFixtureBuilder<'a> {
-    /// With a cache server for each id, in place of the one.
+    /// Replaces the default cache server by one for each id.
     pub fn caches(mut self, ids: &'a [&'static str]) -> Self {
         self.cache_ids = ids;
         self
     }
 
-    /// With a scripted server at the address of every server in the list.
+    /// Gives every server in the endpoint list the address of a scripted server.
     pub fn scripted_server(mut self, server: &'a ScriptedServer) -> Self {
         self.scripted_server = Some(server);
         self
     }
 
-    /// With changes to its configuration file. The keys `consul` and `purges` belong to the file of
-    /// the interconnect and are moved there.
+    /// Changes the configuration file. The keys `consul` and `purges` belong to the interconnect
+    /// file and are moved to it.
     pub fn config(mut self, change: impl FnOnce(&mut Value) + 'a) -> Self {
         self.change_config = Box::new(change);
         self
     }
 
-    /// With other limits than those that fit the machine, so that no test waits for a time-out or
-    /// races with one.
+    /// Changes the limits, which otherwise fit the memory and sockets of the configuration. A test
+    /// changes a timeout so that it neither waits for the timeout nor races with it.
     pub fn limits(mut self, change: impl FnOnce(&mut Limits) + 'a) -> Self {
         self.change_limits = Box::new(change);
         self
     }
 
-    /// With system calls that fail by a plan, from the start of the proxy on.
+    /// Makes system calls of the proxy fail according to a fault plan, from the proxy's start on.
     #[cfg(feature = "fault-injection")]
     pub fn faults(mut self, injector: &FaultInjector) -> Self {
         self.faults = Some(injector.clone());
         self
     }
 
-    /// What the thread of the event loop does first.
-    fn prepare_thread(&self) -> Box<dyn FnOnce() + Send> {
+    /// Returns what the event loop's thread does before it starts the event loop.
+    fn thread_setup(&self) -> Box<dyn FnOnce() + Send> {
         #[cfg(feature = "fault-injection")]
         if let Some(injector) = self.faults.clone() {
             return Box::new(move || injector.install());
@@ -201,7 +208,7 @@
 
     /// Starts the fakes and the proxy.
     pub fn start(self) -> ProxyFixture {
-        let prepare_thread = self.prepare_thread();
+        let set_up_thread = self.thread_setup();
         let event_bus = FakeEventBus::start().unwrap();
         let caches: Vec<FakeCacheServer> = self
             .cache_ids
@@ -225,7 +232,7 @@
             config,
             config_file.clone(),
             pause_gate.clone(),
-            prepare_thread,
+            set_up_thread,
         );
         ProxyFixture {
             fastcgi_address: running.fastcgi_address,
@@ -241,19 +248,19 @@
     }
 }
 
-/// The configuration file of a proxy that knows its servers from the start.
+/// Returns a configuration file that already contains the endpoint list.
 fn proxy_config(
     event_bus: &FakeEventBus,
     caches: &[FakeCacheServer],
     origin: &FakeCacheServer,
 ) -> Value {
-    let mut server_list: Vec<Value> = caches
+    let mut endpoint_list: Vec<Value> = caches
         .iter()
         .map(|cache| cache_entry(cache, server_state::READY))
         .collect();
-    server_list.push(origin_entry(origin, server_state::READY));
+    endpoint_list.push(origin_entry(origin, server_state::READY));
     let known_events = json!({"offset": 0, "batch": [
-        {"offset": 0, "topology": {"rev": 1, "all": true, "targets": server_list}},
+        {"offset": 0, "topology": {"rev": 1, "all": true, "targets": endpoint_list}},
     ]});
     json!({
         "listen": "127.0.0.1:0",
@@ -264,15 +271,18 @@
     })
 }
 
-/// Puts an address in the place of that of every server in the configuration's server list.
+/// Replaces the address of every server in the configuration's endpoint list.
 pub fn set_server_addresses(config: &mut Value, address: SocketAddr) {
     let servers = &mut config["known"]["batch"][0]["topology"]["targets"];
-    for server in servers.as_array_mut().expect("a server list") {
+    for server in servers
+        .as_array_mut()
+        .expect("configuration contains an endpoint list")
+    {
         server["endpoint"] = address.to_string().into();
     }
 }
 
-/// The file of the interconnect, with the keys for it that a test has put into the configuration
+/// Returns the interconnect file. Moves the keys `consul` and `purges` to it from the configuration
 /// file.
 fn interconnect_file(config_file: &mut Value) -> Value {
     let mut interconnect = interconnect_config();
@@ -280,7 +290,7 @@
     json!({"cdni": interconnect, "consul": config_file["consul"].take()})
 }
 
-/// An event loop on a thread of its own.
+/// An event loop that runs on a thread of its own.
 struct RunningEventLoop {
     fastcgi_address: SocketAddr,
     interconnect_address: SocketAddr,
@@ -292,16 +302,16 @@
     config: Config,
     config_file: Arc<Mutex<Value>>,
     pause_gate: PauseGate,
-    prepare_thread: Box<dyn FnOnce() + Send>,
+    set_up_thread: Box<dyn FnOnce() + Send>,
 ) -> RunningEventLoop {
     let reload_config = move || {
         pause_gate.pause_if_requested();
         Config::from_json(&config_file.lock().unwrap())
     };
     let (sender, started) = channel();
-    // An event loop stays on the thread that started it.
+    // The event loop must run on the thread on which it was started.
     let thread = thread::spawn(move || {
-        prepare_thread();
+        set_up_thread();
         let mut event_loop = EventLoop::start(config, Box::new(reload_config)).unwrap();
         let addresses = (
             event_loop.fastcgi_address().unwrap(),
@@ -312,7 +322,7 @@
         event_loop.run()
     });
     let ((fastcgi_address, interconnect_address), control) =
-        started.recv().expect("the event loop starts");
+        started.recv().expect("event loop did not start");
     RunningEventLoop {
         fastcgi_address,
         interconnect_address,
@@ -321,7 +331,7 @@
     }
 }
 
-/// Requests an object and waits for its response. No other request may be open on the connection.
+/// Requests an object and waits for the response. No other request may be open on the connection.
 #[track_caller]
 pub fn fetch_object(client: &mut FastCgiClient, class: &str, object_key: &str) -> Response {
     let request_id = 1;
@@ -335,7 +345,10 @@
 #[track_caller]
 pub fn next_response(client: &mut FastCgiClient) -> (u16, Response) {
     let (request_id, response) = client.next_response().unwrap();
-    (request_id, response.expect("a response"))
+    (
+        request_id,
+        response.expect("request ended without a response"),
+    )
 }
 
 /// Waits until any request of the connection is answered. Returns its id and the status of its
@@ -346,7 +359,7 @@
     (request_id, response.status)
 }
 
-/// Requests a health check and waits for its status. No other request may be open on the
+/// Sends a health check and returns the status of its response. No other request may be open on the
 /// connection.
 #[track_caller]
 pub fn health_status(client: &mut FastCgiClient) -> u16 {
@@ -354,7 +367,8 @@
     next_response(client).1.status
 }
 
-/// Whether the next thing that the proxy does to a connection is to close it, without a reset.
+/// Waits for a response or the end of the connection. Returns whether the proxy closed the
+/// connection without a reset and without another response.
 pub fn is_closed(client: &mut FastCgiClient) -> bool {
     client
         .next_response()
--- a/crates/testkit/src/received_command.rs
+++ b/crates/testkit/src/received_command.rs
@@ -1,25 +1,25 @@
-//! The commands that reach the stand-ins for cache servers.
+//! The commands that fake and scripted cache servers receive from the proxy.
 
 use crate::unix_ms;
 use edge_proxy::protocol::resp;
 
-/// A command of the proxy that has reached a stand-in.
+/// A command that a fake or scripted cache server received from the proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedCommand {
-    /// Unix time in milliseconds.
+    /// When the command was received, as a Unix time in milliseconds.
     pub received_at_ms: u64,
-    /// `fetch`, `abort` or the name of a probe.
+    /// Name of the command: `fetch`, `abort` or the name of a probe.
     pub name: String,
-    /// Id of the request that it is about.
+    /// Id of the request that the command belongs to.
     pub request_id: String,
-    /// Fields as they are on the wire.
+    /// The command's fields in their encoded form.
     pub fields: String,
-    /// Body of a write.
+    /// Body of a write. Empty for other commands.
     pub body: Vec<u8>,
 }
 
 impl ReceivedCommand {
-    /// Reads a command from an array; what it lacks is empty.
+    /// Creates a command from a RESP array. Missing elements become empty values.
     pub(crate) fn from_array(array: &[Vec<u8>]) -> Self {
         let text = |index: usize| {
             array
@@ -36,29 +36,30 @@
         }
     }
 
-    /// The value of a field.
+    /// Returns the value of a field, or None if the command has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
         resp::field(self.fields.as_bytes(), name)
     }
 
-    /// Whether it requests an object.
+    /// Returns whether the command requests an object.
     pub fn is_fetch(&self) -> bool {
         self.name == "fetch"
     }
 
-    /// Key of the requested object.
+    /// Returns the key of the requested object, or None if the command has none.
     pub fn object_key(&self) -> Option<&str> {
         self.field("key")
     }
 
-    /// The name under which a copy of the requested part is kept.
-    pub(crate) fn part_name(&self) -> String {
+    /// Returns the key under which a fake cache server stores the requested part of the object.
+    pub(crate) fn copy_key(&self) -> String {
         let key = self.object_key().unwrap_or("");
         let part = self.field("part").unwrap_or("");
         format!("{key}/{part}")
     }
 
-    /// Largest age of a copy that may serve the request. Zero means no limit.
+    /// Returns the largest age in milliseconds of a copy that may serve the request, or None if
+    /// there is no limit. A `maxage` of 0 means no limit.
     pub(crate) fn max_age_ms(&self) -> Option<u64> {
         let max_age_ms = self.field("maxage")?.parse().ok()?;
         Some(max_age_ms).filter(|max_age_ms| *max_age_ms > 0)
--- a/crates/testkit/src/sample_deployment.rs
+++ b/crates/testkit/src/sample_deployment.rs
@@ -1,37 +1,37 @@
-//! The deployment that the fakes belong to: one location with cache servers and a hub with the
-//! origin, as in `examples/config.json`, and a peer CDN.
+//! The sample deployment that the fakes and the fixture share. As in `examples/config.json`, it has
+//! one location with cache servers and a hub with the origin. It also has a peer CDN.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Class of the requests that read an object. They are idempotent and caches serve them.
+/// Class of read requests, which are idempotent and served by cache servers.
 pub const READ_CLASS: &str = "photo";
-/// Class of the requests that write. They carry an idempotency key and go to the origin.
+/// Class of write requests, which carry an idempotency key and are served by the origin.
 pub const WRITE_CLASS: &str = "post";
 
 /// Zone of the proxy and of the cache servers.
 pub const LOCAL_ZONE: &str = "here";
 /// Zone of the origin.
 pub const HUB_ZONE: &str = "hub";
-/// Kind of a cache server, as it is on the wire.
+/// Server kind of cache servers, as in messages.
 pub const CACHE_KIND: &str = "cache";
-/// Kind of the origin, as it is on the wire.
+/// Server kind of the origin, as in messages.
 pub const ORIGIN_KIND: &str = "origin";
-/// Capacity that every server announces.
+/// Capacity of every server in the endpoint list and in Consul.
 pub const CAPACITY_HINT: u64 = 8;
 
 /// Provider id of the proxy's CDN.
 pub const PROXY_PROVIDER: &str = "AS64500:0";
 /// Provider id of the peer CDN.
 pub const PEER_PROVIDER: &str = "AS64501:0";
-/// Base of the URLs that the proxy's interconnect interface gives out.
+/// Base of the URLs in the responses of the proxy's interconnect interface.
 pub const INTERCONNECT_BASE_URL: &str = "http://cdn.example";
-/// Path at which the peer CDN accepts footprint notifications.
+/// Path on which the peer CDN accepts footprint notifications.
 pub const PEER_NOTIFICATIONS_PATH: &str = "/notices";
-/// Path at which the peer CDN accepts triggers.
+/// Path on which the peer CDN accepts triggers.
 pub const PEER_TRIGGERS_PATH: &str = "/triggers";
 
-/// The proxy's `settings`.
+/// Returns the `settings` object of the proxy's configuration.
 pub fn sample_settings() -> Value {
     json!({
         "categories": [
@@ -62,7 +62,7 @@
     })
 }
 
-/// The interconnect configuration of a proxy without peers.
+/// Returns the interconnect configuration of a proxy without peer CDNs.
 pub fn interconnect_config() -> Value {
     json!({
         "listen": "127.0.0.1:0",
@@ -73,7 +73,7 @@
     })
 }
 
-/// The interconnect configuration of a proxy with one peer.
+/// Returns the interconnect configuration of a proxy with one peer CDN.
 pub fn interconnect_config_with_peer(peer: SocketAddr) -> Value {
     let mut config = interconnect_config();
     config["neighbours"] = json!([{
@@ -86,22 +86,23 @@
     config
 }
 
-/// The key of the object with a number.
+/// Returns the key of the object with a number.
 pub fn object_key(number: u64) -> String {
     format!("{number:016x}")
 }
 
-/// The URL under which peer CDNs know an object.
+/// Returns the URL by which peer CDNs refer to an object.
 pub fn content_url(object_key: &str) -> String {
     format!("{INTERCONNECT_BASE_URL}/content/{READ_CLASS}/{object_key}")
 }
 
-/// The path of a URL that the proxy has given out, or nothing if it is not one of its own.
+/// Returns the path of a URL from the proxy's interconnect interface, or None if the URL does not
+/// begin with [`INTERCONNECT_BASE_URL`].
 pub fn interconnect_path(url: &str) -> Option<&str> {
     url.strip_prefix(INTERCONNECT_BASE_URL)
 }
 
-/// The body of the peer CDN's request to purge an object.
+/// Returns the body of a request from the peer CDN to purge an object.
 pub fn purge_trigger(object_key: &str) -> Value {
     json!({
         "trigger": {"type": "purge", "content.urls": [content_url(object_key)]},
@@ -109,7 +110,7 @@
     })
 }
 
-/// The body of the peer CDN's request to redirect a client that wants a URL.
+/// Returns the body of a request from the peer CDN to redirect a client that requests a URL.
 pub fn redirection_request(client_ip: &str, url: &str) -> Value {
     json!({
         "http": {"c-ip": client_ip, "cs-uri": url, "cs-method": "GET"},
--- a/crates/testkit/src/scenario/deployment.rs
+++ b/crates/testkit/src/scenario/deployment.rs
@@ -1,4 +1,4 @@
-//! The proxy and the fakes that the scenario runs with.
+//! The proxy process and the fakes of the scenario.
 
 use super::proxy_process::ProxyProcess;
 use super::ScenarioError;
@@ -15,7 +15,7 @@
 
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A proxy with two caches, an origin, an event bus and a peer CDN.
+/// A proxy with two cache servers, an origin, an event bus and a peer CDN.
 pub(super) struct Deployment {
     pub(super) caches: [FakeCacheServer; 2],
     pub(super) origin: FakeCacheServer,
@@ -25,7 +25,7 @@
 }
 
 impl Deployment {
-    /// Starts the fakes, publishes the server list and starts the proxy.
+    /// Starts the fakes, publishes the endpoint list and starts the proxy.
     pub(super) fn start(proxy_program: &Path) -> Result<Self, ScenarioError> {
         let caches = [
             FakeCacheServer::start("s-0000000a")?,
@@ -33,7 +33,7 @@
         ];
         let origin = FakeCacheServer::start("s-0000000f")?;
         let event_bus = FakeEventBus::start()?;
-        event_bus.publish_server_list(vec![
+        event_bus.publish_endpoint_list(vec![
             cache_entry(&caches[0], server_state::READY),
             cache_entry(&caches[1], server_state::READY),
             origin_entry(&origin, server_state::READY),
@@ -49,7 +49,8 @@
         })
     }
 
-    /// Waits until the health check of the interconnect interface succeeds.
+    /// Waits until the health check of the interconnect interface succeeds. Returns an error if it
+    /// does not within [`TEST_TIMEOUT`].
     pub(super) fn wait_until_ready(&self) -> Result<(), ScenarioError> {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while self.interconnect_request("GET", "/health", "")?.status != 200 {
@@ -61,19 +62,19 @@
         Ok(())
     }
 
-    /// Changes how both caches treat the requests to come.
+    /// Sets how both cache servers respond to requests that they have not received yet.
     pub(super) fn set_cache_behavior(&self, behavior: Behavior) {
         for cache in &self.caches {
             cache.set_behavior(behavior);
         }
     }
 
-    /// Number of commands that the caches have received.
-    pub(super) fn commands_at_caches(&self) -> usize {
+    /// Returns the number of commands that the cache servers have received.
+    pub(super) fn cache_command_count(&self) -> usize {
         self.caches.iter().map(|cache| cache.received().len()).sum()
     }
 
-    /// The cache that has received a command that matches, if one has.
+    /// Returns the first cache server that has received a matching command, or None if none has.
     pub(super) fn cache_that_received(
         &self,
         matches: impl Fn(&ReceivedCommand) -> bool,
@@ -93,7 +94,7 @@
         http_client::request(self.proxy.interconnect_address, method, target, body)
     }
 
-    /// Fetches an object by the interconnect interface.
+    /// Fetches an object through the interconnect interface.
     pub(super) fn fetch_content(&self, object_key: &str) -> io::Result<Response> {
         let target = format!("/content/{READ_CLASS}/{object_key}/0?kb=40");
         self.interconnect_request("GET", &target, "")
--- a/crates/testkit/src/scenario/drain.rs
+++ b/crates/testkit/src/scenario/drain.rs
@@ -1,5 +1,6 @@
-//! A cache server drains while redirected requests wait for it. Each of them gets exactly one
-//! response, and after the drain's grace period the server gets no new request.
+//! Checks a drain of a cache server while redirected requests wait for its answers. Each of these
+//! requests must get exactly one response, and the server must receive no new request after the
+//! drain's grace period.
 
 use super::deployment::Deployment;
 use super::{InjectedFault, Rule, ScenarioError, ScenarioReport, MEASUREMENT_TOLERANCE_MS};
@@ -12,23 +13,26 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Time from the publication of a drain until the server may get no new request.
+/// Time from the publication of a drain until the server may receive no new request. Matches the
+/// `drain-grace-us` of [`sample_settings`](crate::sample_settings), plus the tolerance.
 const DRAIN_GRACE_MS: u64 = 1000 + MEASUREMENT_TOLERANCE_MS;
-/// By this, requests sent after the grace period lie behind it.
-const AFTER_GRACE_MS: u64 = 10;
-const REDIRECTED_REQUESTS: u64 = 12;
-const REQUESTS_AFTER_DRAIN: u64 = 2 * REDIRECTED_REQUESTS;
-/// Number of the first redirected object.
-const REDIRECTED_OBJECTS: u64 = 0xb000;
-/// Number of the first object requested after the drain.
-const OBJECTS_AFTER_DRAIN: u64 = 0xc000;
-/// Long enough for the drain to come while requests wait.
+/// Margin after the grace period, so that later requests are clearly sent after its end.
+const GRACE_MARGIN_MS: u64 = 10;
+const REDIRECTED_REQUEST_COUNT: u64 = 12;
+const REQUEST_COUNT_AFTER_DRAIN: u64 = 2 * REDIRECTED_REQUEST_COUNT;
+/// Number of the first object that redirected requests fetch.
+const FIRST_REDIRECTED_OBJECT: u64 = 0xb000;
+/// Number of the first object that is requested after the drain.
+const FIRST_OBJECT_AFTER_DRAIN: u64 = 0xc000;
+/// Delay of the cache servers' responses, which is long enough to publish the drain while requests
+/// wait.
 const RESPONSE_DELAY_MS: u64 = 150;
 const CLIENT_IP: &str = "127.0.0.9";
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const GRACE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A client that follows a redirection, by the number of its request.
+/// The thread of a client that follows a redirection. It returns the number of the request and the
+/// result.
 type RedirectedClient = JoinHandle<(u64, io::Result<Response>)>;
 
 pub(super) fn run(
@@ -38,36 +42,36 @@
 ) -> Result<(), ScenarioError> {
     deployment.set_cache_behavior(Behavior::delayed(RESPONSE_DELAY_MS));
     let clients = start_redirected_clients(deployment, report)?;
-    let draining = wait_for_redirected_request(deployment)?;
+    let draining_cache = wait_for_redirected_request(deployment)?;
     if fault != Some(InjectedFault::UnannouncedDrain) {
-        let entry = cache_entry(draining, server_state::DRAINING);
-        deployment.event_bus.publish_server_changes(vec![entry]);
+        let entry = cache_entry(draining_cache, server_state::DRAINING);
+        deployment.event_bus.publish_endpoint_changes(vec![entry]);
     }
-    let drained_at_ms = unix_ms();
+    let drain_published_at_ms = unix_ms();
     for client in clients {
         let (number, response) = client.join().map_err(|_| ScenarioError::ClientPanicked)?;
         check_redirected_response(number, response, report);
     }
     deployment.set_cache_behavior(Behavior::default());
-    while unix_ms() < drained_at_ms + DRAIN_GRACE_MS + AFTER_GRACE_MS {
+    while unix_ms() < drain_published_at_ms + DRAIN_GRACE_MS + GRACE_MARGIN_MS {
         thread::sleep(GRACE_POLL_INTERVAL);
     }
     request_after_drain(deployment, report)?;
-    check_no_fetch_after_grace(draining, drained_at_ms, report);
+    check_no_fetch_after_grace(draining_cache, drain_published_at_ms, report);
     report.complete_case(format!(
-        "drain: {REDIRECTED_REQUESTS} redirected requests during it, {REQUESTS_AFTER_DRAIN} requests after it"
+        "drain: {REDIRECTED_REQUEST_COUNT} redirected requests during the drain, {REQUEST_COUNT_AFTER_DRAIN} requests after it"
     ));
     Ok(())
 }
 
-/// Asks for redirections, and has a client follow each of them on a thread of its own.
+/// Requests redirections, and starts a thread for each that follows it.
 fn start_redirected_clients(
     deployment: &Deployment,
     report: &mut ScenarioReport,
 ) -> Result<Vec<RedirectedClient>, ScenarioError> {
     let mut clients = Vec::new();
-    for number in 0..REDIRECTED_REQUESTS {
-        let url = content_url(&object_key(REDIRECTED_OBJECTS + number));
+    for number in 0..REDIRECTED_REQUEST_COUNT {
+        let url = content_url(&object_key(FIRST_REDIRECTED_OBJECT + number));
         let request = redirection_request(CLIENT_IP, &format!("{url}/0?kb=40"));
         let response =
             deployment.interconnect_request("POST", "/cdni/redirect", &request.to_string())?;
@@ -77,7 +81,9 @@
             .and_then(interconnect_path);
         let Some(target) = location.map(str::to_owned) else {
             report.check(Rule::Redirected, false, || {
-                format!("expected a redirection, got {redirection}")
+                format!(
+                    "redirection request {number} was answered without a location: {redirection}"
+                )
             });
             continue;
         };
@@ -89,10 +95,11 @@
     Ok(clients)
 }
 
-/// Waits until a redirected request has reached a cache server, and returns the server.
+/// Waits until a redirected request has reached a cache server, and returns that server. Returns an
+/// error if none does within [`TEST_TIMEOUT`].
 fn wait_for_redirected_request(deployment: &Deployment) -> Result<&FakeCacheServer, ScenarioError> {
-    let redirected_keys: Vec<_> = (0..REDIRECTED_REQUESTS)
-        .map(|number| object_key(REDIRECTED_OBJECTS + number))
+    let redirected_keys: Vec<_> = (0..REDIRECTED_REQUEST_COUNT)
+        .map(|number| object_key(FIRST_REDIRECTED_OBJECT + number))
         .collect();
     let is_redirected = |command: &ReceivedCommand| {
         let key = command.object_key();
@@ -124,7 +131,7 @@
             let kept = is_final && !response.has_surplus_bytes;
             report.check(Rule::SingleResponse, kept, || {
                 format!(
-                    "redirected request {number} got {}, with bytes behind it: {}",
+                    "redirected request {number} got status {}; bytes followed the response: {}",
                     response.status, response.has_surplus_bytes
                 )
             });
@@ -133,8 +140,8 @@
 }
 
 fn request_after_drain(deployment: &Deployment, report: &mut ScenarioReport) -> io::Result<()> {
-    for number in 0..REQUESTS_AFTER_DRAIN {
-        let response = deployment.fetch_content(&object_key(OBJECTS_AFTER_DRAIN + number))?;
+    for number in 0..REQUEST_COUNT_AFTER_DRAIN {
+        let response = deployment.fetch_content(&object_key(FIRST_OBJECT_AFTER_DRAIN + number))?;
         report.check(Rule::SingleResponse, !response.has_surplus_bytes, || {
             format!("bytes followed the response to request {number} after the drain")
         });
@@ -143,21 +150,21 @@
 }
 
 fn check_no_fetch_after_grace(
-    draining: &FakeCacheServer,
-    drained_at_ms: u64,
+    draining_cache: &FakeCacheServer,
+    drain_published_at_ms: u64,
     report: &mut ScenarioReport,
 ) {
-    for command in draining.received() {
-        let is_late = command.received_at_ms > drained_at_ms + DRAIN_GRACE_MS;
+    for command in draining_cache.received() {
+        let is_late = command.received_at_ms > drain_published_at_ms + DRAIN_GRACE_MS;
         report.check(
             Rule::DrainTakesEffect,
             !(command.is_fetch() && is_late),
             || {
                 format!(
-                    "request {} reached {} {} ms after the drain",
+                    "request {} reached draining server {} {} ms after the drain, the limit is {DRAIN_GRACE_MS} ms",
                     command.request_id,
-                    draining.id,
-                    command.received_at_ms - drained_at_ms
+                    draining_cache.id,
+                    command.received_at_ms - drain_published_at_ms
                 )
             },
         );
--- a/crates/testkit/src/scenario/mod.rs
+++ b/crates/testkit/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! The loopback scenario: the proxy's program, with fakes around it, goes through a purge, a drain
-//! and a shutdown. Every violation of the rules is reported, not only the first.
+//! The loopback scenario, which runs the proxy program and fakes around it through a purge, a drain
+//! and a shutdown. It reports every violation of a rule, not only the first.
 
 mod attempt_limit;
 mod deployment;
@@ -13,50 +13,52 @@
 pub use report::{Rule, RuleViolation, ScenarioReport};
 
 use crate::fake_cache::Behavior;
+use crate::TEST_TIMEOUT;
 use deployment::Deployment;
 use std::io;
 use std::path::Path;
 
-/// What sockets and threads of this program add to a time limit of the proxy.
+/// Tolerance added to the proxy's grace periods, because sockets and threads of this program delay
+/// what it observes.
 const MEASUREMENT_TOLERANCE_MS: u64 = 50;
 
-/// A fault that the fakes are made to show, to see that the scenario reports it.
+/// A fault that the fakes cause in order to check that the scenario reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The cache servers serve copies of any age, also after a purge, and claim that they are new.
+    /// The cache servers serve copies of any age, even after a purge, and report them as new.
     StaleCopies,
     /// The event bus does not publish the drain.
     UnannouncedDrain,
 }
 
-/// Why the scenario could not be run to its end. What the proxy does wrong is in the
-/// [`ScenarioReport`].
+/// The reason why the scenario could not be completed. Violations by the proxy are in the
+/// [`ScenarioReport`] instead.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// A fake or the proxy's process failed, or the proxy did not answer.
+    /// A fake or the proxy's process failed, or the proxy did not answer in time.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// What the proxy sent is not the expected JSON.
+    /// The proxy sent a body that is not valid JSON.
     #[error("the proxy sent invalid JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
-    /// The process was started without its standard error.
-    #[error("the proxy's log can't be read")]
+    /// The proxy's process was started without a pipe for its standard error.
+    #[error("the proxy's log cannot be read because its standard error is not piped")]
     NoLog,
-    /// The log did not name the addresses in time.
-    #[error("the proxy did not start to listen")]
+    /// The proxy exited, or its log did not name both listen addresses in time.
+    #[error("the proxy exited or did not log its listen addresses within {TEST_TIMEOUT:?}")]
     NotListening,
-    /// The health check did not succeed in time.
-    #[error("the proxy did not become ready")]
+    /// The proxy's health check did not succeed in time.
+    #[error("the proxy did not become ready within {TEST_TIMEOUT:?}")]
     NotReady,
     /// No cache server received any of the redirected requests in time.
-    #[error("no redirected request reached a cache server")]
+    #[error("no redirected request reached a cache server within {TEST_TIMEOUT:?}")]
     NoRedirectedRequest,
-    /// A client thread panicked.
-    #[error("a client panicked")]
+    /// The thread of a client panicked.
+    #[error("the thread of a client panicked")]
     ClientPanicked,
 }
 
-/// Runs the scenario against the proxy's program, with a fault if one is given.
+/// Runs the scenario against a proxy program, with an injected fault if one is given.
 pub fn run_scenario(
     proxy_program: &Path,
     fault: Option<InjectedFault>,
--- a/crates/testkit/src/scenario/notifications.rs
+++ b/crates/testkit/src/scenario/notifications.rs
@@ -1,4 +1,4 @@
-//! The proxy notifies its peer CDN of its footprint and of a purge from the event bus.
+//! Checks that the proxy notifies its peer CDN of its footprint and of a purge from the event bus.
 
 use super::deployment::Deployment;
 use super::{Rule, ScenarioError, ScenarioReport};
--- a/crates/testkit/src/scenario/proxy_process.rs
+++ b/crates/testkit/src/scenario/proxy_process.rs
@@ -1,4 +1,4 @@
-//! Starts the proxy's program with a configuration for the scenario.
+//! Runs the proxy program as a process, with the configuration of the scenario.
 
 use super::ScenarioError;
 use crate::sample_deployment::{interconnect_config_with_peer, sample_settings};
@@ -12,30 +12,31 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// What the proxy's log says before the address of its FastCGI interface.
-const FASTCGI_ADDRESS_MARK: &str = " listens on ";
-/// What the proxy's log says before the address of its interconnect interface.
-const INTERCONNECT_ADDRESS_MARK: &str = "peer CDNs connect to ";
+/// The text before the address of the FastCGI interface in the proxy's log.
+const FASTCGI_ADDRESS_PREFIX: &str = " listens on ";
+/// The text before the address of the interconnect interface in the proxy's log.
+const INTERCONNECT_ADDRESS_PREFIX: &str = "peer CDNs connect to ";
 
-/// A running proxy; killed when this is dropped.
+/// A running proxy process, which is killed when this is dropped.
 pub(super) struct ProxyProcess {
     child: Child,
-    /// Where web servers connect.
+    /// Address on which the proxy accepts web servers.
     pub(super) fastcgi_address: SocketAddr,
-    /// Where peer CDNs connect.
+    /// Address on which the proxy accepts peer CDNs.
     pub(super) interconnect_address: SocketAddr,
 }
 
 impl Drop for ProxyProcess {
     fn drop(&mut self) {
-        // It may have exited before.
+        // Errors are ignored because the process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl ProxyProcess {
-    /// Starts the program, and waits until it listens.
+    /// Starts the program and waits until it listens on both interfaces. Returns an error if it
+    /// exits or does not log both addresses in time.
     pub(super) fn start(
         program: &Path,
         event_bus: SocketAddr,
@@ -50,7 +51,7 @@
             .stderr(Stdio::piped())
             .spawn()?;
         let log = child.stderr.take().ok_or(ScenarioError::NoLog)?;
-        let addresses = watch_log_for_addresses(log);
+        let addresses = spawn_log_reader(log);
         let (mut fastcgi_address, mut interconnect_address) = (None, None);
         loop {
             if let (Some(fastcgi_address), Some(interconnect_address)) =
@@ -70,9 +71,9 @@
         }
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM to the process.
     pub(super) fn terminate(&self) -> io::Result<()> {
-        // By the shell: the standard library can't send signals.
+        // The standard library cannot send SIGTERM, so the shell's `kill` sends it.
         Command::new("sh")
             .arg("-c")
             .arg(format!("kill -TERM {}", self.child.id()))
@@ -86,24 +87,25 @@
     }
 }
 
-/// An address that the proxy's log names.
+/// A listen address from the proxy's log.
 enum ListenAddress {
     FastCgi(SocketAddr),
     Interconnect(SocketAddr),
 }
 
-/// Reads the log on a thread, to its end: the proxy must never wait for its log to be read.
-fn watch_log_for_addresses(log: impl Read + Send + 'static) -> mpsc::Receiver<ListenAddress> {
+/// Reads the proxy's log on a thread and sends the listen addresses in it. The thread reads to the
+/// end of the log, because a full pipe would block the proxy.
+fn spawn_log_reader(log: impl Read + Send + 'static) -> mpsc::Receiver<ListenAddress> {
     let (sender, addresses) = mpsc::channel();
     thread::spawn(move || {
         for line in BufReader::new(log).lines().map_while(Result::ok) {
-            let address_after = |mark: &str| line.split_once(mark)?.1.trim().parse().ok();
+            let address_after = |prefix: &str| line.split_once(prefix)?.1.trim().parse().ok();
             let found = [
-                address_after(FASTCGI_ADDRESS_MARK).map(ListenAddress::FastCgi),
-                address_after(INTERCONNECT_ADDRESS_MARK).map(ListenAddress::Interconnect),
+                address_after(FASTCGI_ADDRESS_PREFIX).map(ListenAddress::FastCgi),
+                address_after(INTERCONNECT_ADDRESS_PREFIX).map(ListenAddress::Interconnect),
             ];
             for address in found.into_iter().flatten() {
-                // Nobody waits for further addresses once both are known.
+                // The receiver is gone once both addresses are known.
                 let _ = sender.send(address);
             }
         }
@@ -111,26 +113,26 @@
     addresses
 }
 
-/// The configuration files in a folder of their own, which is removed when this is dropped.
+/// The proxy's configuration files in a temporary directory, which is removed when this is dropped.
 struct ConfigFiles {
-    folder: PathBuf,
+    directory: PathBuf,
     proxy: PathBuf,
     interconnect: PathBuf,
 }
 
 impl ConfigFiles {
     fn write(event_bus: SocketAddr, peer_cdn: SocketAddr) -> io::Result<Self> {
-        // The port of the event bus tells apart scenarios that run side by side in one process.
-        let folder = std::env::temp_dir().join(format!(
+        // The event bus port makes the name unique among concurrent scenarios in one process.
+        let directory = std::env::temp_dir().join(format!(
             "edge-loopback-scenario-{}-{}",
             std::process::id(),
             event_bus.port()
         ));
-        fs::create_dir_all(&folder)?;
+        fs::create_dir_all(&directory)?;
         let files = ConfigFiles {
-            proxy: folder.join("config.json"),
-            interconnect: folder.join("interconnect.json"),
-            folder,
+            proxy: directory.join("config.json"),
+            interconnect: directory.join("interconnect.json"),
+            directory,
         };
         fs::write(&files.proxy, proxy_config(event_bus).to_string())?;
         let interconnect = json!({"cdni": interconnect_config_with_peer(peer_cdn)});
@@ -141,8 +143,8 @@
 
 impl Drop for ConfigFiles {
     fn drop(&mut self) {
-        // A folder that is left in the temporary directory does no harm.
-        let _ = fs::remove_dir_all(&self.folder);
+        // An error is ignored because a leftover temporary directory does no harm.
+        let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
--- a/crates/testkit/src/scenario/purge.rs
+++ b/crates/testkit/src/scenario/purge.rs
@@ -1,5 +1,5 @@
-//! A peer CDN purges an object. After the purge's grace period, neither interface serves an older
-//! copy.
+//! Checks a purge by a peer CDN. After the purge's grace period, neither the FastCGI nor the
+//! interconnect interface may serve a copy that was created before the purge.
 
 use super::deployment::Deployment;
 use super::{Rule, ScenarioError, ScenarioReport, MEASUREMENT_TOLERANCE_MS};
@@ -13,20 +13,22 @@
 
 /// The purged object.
 const OBJECT_KEY: &str = "00000000000000a1";
-/// Time from the acceptance of a purge until no older copy may be served.
+/// Time from the acceptance of a purge until no older copy may be served. Matches the
+/// `purge-slack-us` of [`sample_settings`](crate::sample_settings), plus the tolerance.
 const PURGE_GRACE_MS: u64 = 300 + MEASUREMENT_TOLERANCE_MS;
-/// How long after the grace period responses are watched.
-const WATCH_AFTER_GRACE_MS: u64 = 600;
+/// How long responses are checked after the end of the grace period.
+const CHECK_AFTER_GRACE_MS: u64 = 600;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 const REQUEST_BUDGET_MS: u64 = 2500;
-/// More than the step of the clock: by this the purge lies behind the copy.
-const CLOCK_STEP: Duration = Duration::from_millis(5);
+/// Pause between the creation of the copy and the purge. It is longer than the resolution of the
+/// clock, so that the purge's time is later than that of the copy.
+const PAUSE_BEFORE_PURGE: Duration = Duration::from_millis(5);
 
-/// When a purge was sent and accepted, in Unix milliseconds.
+/// When a purge was sent and accepted, as Unix times in milliseconds.
 struct PurgeTimes {
-    /// Copies created before this are purged.
+    /// Time of the purge. Copies created earlier are purged.
     purged_at_ms: u64,
-    /// The grace period begins here.
+    /// Start of the grace period.
     accepted_at_ms: u64,
 }
 
@@ -36,14 +38,14 @@
 ) -> Result<(), ScenarioError> {
     let first = deployment.fetch_content(OBJECT_KEY)?;
     report.check(Rule::SingleResponse, first.status == 200, || {
-        format!("the first fetch was answered with {}", first.status)
+        format!("the first fetch was answered with status {}", first.status)
     });
-    thread::sleep(CLOCK_STEP);
+    thread::sleep(PAUSE_BEFORE_PURGE);
     let purge = trigger_purge(deployment, report)?;
-    let requests_per_interface = watch_responses(deployment, &purge, report)?;
+    let requests_per_interface = check_responses(deployment, &purge, report)?;
     report.complete_case(format!(
-        "purge by a peer CDN: {requests_per_interface} requests on each interface, {} commands at the caches",
-        deployment.commands_at_caches()
+        "purge by a peer CDN: {requests_per_interface} requests on each interface, {} commands received by the cache servers",
+        deployment.cache_command_count()
     ));
     Ok(())
 }
@@ -57,7 +59,10 @@
     let created = deployment.interconnect_request("POST", "/cdni/triggers", &trigger)?;
     let accepted_at_ms = unix_ms();
     report.check(Rule::PurgeAccepted, created.status == 201, || {
-        format!("the purge was answered with {}", created.status)
+        format!(
+            "the purge trigger was answered with status {}",
+            created.status
+        )
     });
     let status_path = created
         .header("location")
@@ -67,7 +72,7 @@
     let is_complete = serde_json::from_slice::<Value>(&status.body)
         .is_ok_and(|status| status["status"] == "complete");
     report.check(Rule::PurgeAccepted, is_complete, || {
-        format!("the status resource {status_path} does not say that the purge is complete")
+        format!("the status resource {status_path} does not report the purge as complete")
     });
     Ok(PurgeTimes {
         purged_at_ms,
@@ -75,15 +80,16 @@
     })
 }
 
-/// Fetches the object by both interfaces until some time after the grace period. Returns how often.
-fn watch_responses(
+/// Fetches the object repeatedly through both interfaces, until [`CHECK_AFTER_GRACE_MS`] after the
+/// grace period. Returns the number of requests on each interface.
+fn check_responses(
     deployment: &Deployment,
     purge: &PurgeTimes,
     report: &mut ScenarioReport,
 ) -> io::Result<u16> {
     let mut client = FastCgiClient::connect(deployment.proxy.fastcgi_address)?;
     let mut request_id = 0;
-    while unix_ms() < purge.accepted_at_ms + PURGE_GRACE_MS + WATCH_AFTER_GRACE_MS {
+    while unix_ms() < purge.accepted_at_ms + PURGE_GRACE_MS + CHECK_AFTER_GRACE_MS {
         let sent_at_ms = unix_ms();
         request_id += 1;
         client.request_object(request_id, READ_CLASS, OBJECT_KEY, REQUEST_BUDGET_MS)?;
@@ -111,7 +117,7 @@
     let is_stale = is_after_grace && is_purged_copy;
     report.check(Rule::PurgeTakesEffect, !is_stale, || {
         format!(
-            "the {interface} interface served a purged copy {} ms after the purge",
+            "the {interface} interface served a purged copy {} ms after the purge, the limit is {PURGE_GRACE_MS} ms",
             sent_at_ms - purge.accepted_at_ms
         )
     });
--- a/crates/testkit/src/scenario/report.rs
+++ b/crates/testkit/src/scenario/report.rs
@@ -1,25 +1,25 @@
-//! What a run of the scenario found.
+//! The report of a run of the scenario.
 
 use std::fmt;
 
-/// A rule that the proxy must keep.
+/// A rule that the proxy must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// Each request gets exactly one response.
     SingleResponse,
-    /// A peer's purge is accepted, and its status is complete.
+    /// A purge by a peer CDN is accepted and reported as complete.
     PurgeAccepted,
-    /// After the grace period of a purge, no older copy is served.
+    /// No older copy is served after the grace period of a purge.
     PurgeTakesEffect,
-    /// The peer CDN gets the footprint and the purges.
+    /// The peer CDN is notified of the footprint and of purges.
     PeerNotified,
-    /// A redirection request gets a redirection.
+    /// A redirection request is answered with a redirection.
     Redirected,
-    /// After the grace period of a drain, the server gets no new request.
+    /// The draining server receives no new request after the grace period of a drain.
     DrainTakesEffect,
-    /// A request has a bounded number of attempts.
+    /// A request has no more attempts than the limit.
     AttemptsBounded,
-    /// On shutdown, open requests are answered and the process succeeds.
+    /// On shutdown, open requests are answered and the process exits successfully.
     GracefulShutdown,
 }
 
@@ -41,23 +41,24 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleViolation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// What violated it.
+    /// How the rule was violated.
     pub description: String,
 }
 
-/// What the scenario did and found. Its `Display` is a line each.
+/// The completed cases and violations of a run of the scenario. `Display` writes one line for each,
+/// and the number of violations.
 #[derive(Clone, Debug, Default)]
 pub struct ScenarioReport {
-    /// The cases that were run, with their counts.
+    /// Descriptions of the completed cases, with numbers of requests.
     pub completed_cases: Vec<String>,
-    /// All violations, in the order in which they were found.
+    /// All violations in the order of their detection.
     pub violations: Vec<RuleViolation>,
 }
 
 impl ScenarioReport {
-    /// Records a violation unless the rule was kept.
+    /// Records a violation of a rule unless `kept` is true.
     pub(super) fn check(&mut self, rule: Rule, kept: bool, describe: impl FnOnce() -> String) {
         if !kept {
             self.violations.push(RuleViolation {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Records that a case was run to its end.
+    /// Records that a case was completed.
     pub(super) fn complete_case(&mut self, description: impl Into<String>) {
         self.completed_cases.push(description.into());
     }
--- a/crates/testkit/src/scenario/shutdown.rs
+++ b/crates/testkit/src/scenario/shutdown.rs
@@ -1,4 +1,4 @@
-//! On SIGTERM, the proxy answers an open request and exits with success.
+//! Checks that the proxy answers an open request after SIGTERM, and then exits successfully.
 
 use super::deployment::Deployment;
 use super::{Rule, ScenarioError, ScenarioReport};
@@ -11,7 +11,8 @@
 
 const OBJECT_KEY: &str = "00000000000000e1";
 const REQUEST_BUDGET_MS: u64 = 2500;
-/// Long enough for SIGTERM to come while the request is open.
+/// Delay of the cache servers' responses, which is long enough to send SIGTERM while the request is
+/// open.
 const RESPONSE_DELAY_MS: u64 = 150;
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -23,33 +24,33 @@
     deployment.proxy.terminate()?;
     let (_, response) = client.next_response()?;
     report.check(Rule::GracefulShutdown, response.is_some(), || {
-        "an open request was not answered on shutdown".to_owned()
+        "the open request was not answered after SIGTERM".to_owned()
     });
     let status = deployment.proxy.wait()?;
     report.check(Rule::GracefulShutdown, status.success(), || {
-        format!("the proxy exited with {status}")
+        format!("the proxy exited with {status} after SIGTERM")
     });
     report.complete_case("graceful shutdown with an open request");
     Ok(())
 }
 
-/// Sends a request, and waits until it has reached a cache server.
+/// Sends a request and waits until it has reached a cache server, for at most [`TEST_TIMEOUT`].
 fn open_request(
     deployment: &Deployment,
     report: &mut ScenarioReport,
 ) -> Result<FastCgiClient, ScenarioError> {
-    let commands_before = deployment.commands_at_caches();
+    let command_count_before = deployment.cache_command_count();
     deployment.set_cache_behavior(Behavior::delayed(RESPONSE_DELAY_MS));
     let mut client = FastCgiClient::connect(deployment.proxy.fastcgi_address)?;
     client.request_object(1, READ_CLASS, OBJECT_KEY, REQUEST_BUDGET_MS)?;
     let deadline = Instant::now() + TEST_TIMEOUT;
-    while deployment.commands_at_caches() == commands_before && Instant::now() < deadline {
+    while deployment.cache_command_count() == command_count_before && Instant::now() < deadline {
         thread::sleep(POLL_INTERVAL);
     }
     let is_open_request = |command: &ReceivedCommand| command.object_key() == Some(OBJECT_KEY);
     let has_arrived = deployment.cache_that_received(is_open_request).is_some();
     report.check(Rule::SingleResponse, has_arrived, || {
-        "the last request did not reach a cache server".to_owned()
+        "the request before the shutdown did not reach a cache server".to_owned()
     });
     Ok(client)
 }
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -1,5 +1,5 @@
-//! A cache server that does nothing by itself: a test says what it reads, answers and closes, and
-//! in which order.
+//! A cache server that a test controls step by step. It reads, answers and closes only when the
+//! test calls the corresponding method.
 
 use crate::received_command::ReceivedCommand;
 use crate::{listen, ANY_LOOPBACK_PORT, MAX_MESSAGE_BYTES, READ_CHUNK_BYTES, TEST_TIMEOUT};
@@ -10,17 +10,17 @@
 use std::sync::{mpsc, Mutex};
 use std::time::Duration;
 
-/// A server that hands its connections to the test.
+/// A server that passes each of its connections to the test.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     connections: Mutex<mpsc::Receiver<TcpStream>>,
 }
 
-/// A connection of the proxy to a [`ScriptedServer`].
+/// A connection from the proxy to a [`ScriptedServer`].
 pub struct ScriptedConnection {
     socket: TcpStream,
-    arrays: resp::ArrayParser,
+    array_parser: resp::ArrayParser,
     input: Vec<u8>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl ScriptedServer {
-    /// Starts a server on a port of its own.
+    /// Starts a server on a free port.
     pub fn start() -> io::Result<Self> {
         let (sender, connections) = mpsc::channel();
         let address = listen(ANY_LOOPBACK_PORT, move |socket| sender.send(socket))?;
@@ -39,14 +39,15 @@
         })
     }
 
-    /// Waits for the next connection of the proxy.
+    /// Waits for the next connection from the proxy. Returns an error if none arrives within
+    /// [`TEST_TIMEOUT`].
     pub fn accept(&self) -> io::Result<ScriptedConnection> {
         let connections = self.connections.lock().map_err(timed_out)?;
         let socket = connections.recv_timeout(TEST_TIMEOUT).map_err(timed_out)?;
         socket.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(ScriptedConnection {
             socket,
-            arrays: resp::ArrayParser::new(MAX_MESSAGE_BYTES),
+            array_parser: resp::ArrayParser::new(MAX_MESSAGE_BYTES),
             input: Vec::new(),
         })
     }
@@ -56,7 +57,10 @@
     /// Reads the next command.
     pub fn next_command(&mut self) -> io::Result<ReceivedCommand> {
         loop {
-            let (consumed, array) = self.arrays.parse(&self.input).map_err(io::Error::other)?;
+            let (consumed, array) = self
+                .array_parser
+                .parse(&self.input)
+                .map_err(io::Error::other)?;
             self.input.drain(..consumed);
             if let Some(array) = array {
                 return Ok(ReceivedCommand::from_array(&array));
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Reads the next fetch, past all other commands.
+    /// Reads the next fetch and discards all commands before it.
     pub fn next_fetch(&mut self) -> io::Result<ReceivedCommand> {
         loop {
             let command = self.next_command()?;
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Answers a request.
+    /// Sends the answer to a request.
     pub fn answer(
         &mut self,
         request_id: &str,
@@ -116,8 +120,8 @@
         self.socket.write_all(bytes)
     }
 
-    /// Discards what the proxy sends until it has closed or reset the connection. It is an error if
-    /// that takes longer than [`TEST_TIMEOUT`].
+    /// Discards input until the proxy closes or resets the connection. Returns an error if the
+    /// proxy neither sends anything nor closes the connection for [`TEST_TIMEOUT`].
     pub fn wait_until_closed(&mut self) -> io::Result<()> {
         loop {
             match self.socket.read(&mut [0; READ_CHUNK_BYTES]) {
@@ -134,7 +138,7 @@
         self.socket.shutdown(Shutdown::Both)
     }
 
-    /// Closes the connection with a reset.
+    /// Resets the connection. A linger time of zero makes the close send a reset.
     pub fn reset(self) -> io::Result<()> {
         let no_linger = Some(Duration::ZERO);
         Ok(sockopt::set_socket_linger(&self.socket, no_linger)?)
