--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What a newcomer needs: build, test, lint, run.
+# Targets to build, test, lint and run the proxy.
 .PHONY: build test lint fmt run fake-caches scenario soak ci
 
 build:
@@ -14,18 +14,20 @@
 fmt:
 	cargo fmt --all
 
-# The proxy with the configuration of examples/. Start its cache servers first, in another window: make fake-caches
+# Runs the proxy with the configuration in examples/. Start its cache servers first, in another terminal, with
+# `make fake-caches`.
 run: build
 	ROUTER_CONFIG=examples/config.json EDGE_PROXY_INTERCONNECT=examples/interconnect.json target/release/edge-proxy
 
 fake-caches:
 	cargo run --locked -p edge-testkit --example fake_caches
 
-# Plays a purge and a drain against the release build on loopback.
+# Runs the loopback scenario, which consists of a purge, a drain and a shutdown, against the release build.
 scenario: build
 	target/release/edge-loopback-scenario
 
-# Plays plans of overlapping faults against real proxies on loopback; a plan takes 7 s. SEEDS: one, or first..last.
+# Runs plans of overlapping faults against proxy processes on loopback. Each plan takes 7 s. SEEDS is a single seed or
+# a range first..last. JOBS is the number of plans that run at the same time.
 SEEDS ?= 1..40
 JOBS ?= 8
 soak:
