--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -41,8 +41,8 @@
     T::deserialize(value).or_else(|_| Ok(serde_path_to_error::deserialize(value)?))
 }
 
-/// A non-negative integer, which may be written as a floating-point number. Reading drops the
-/// fraction and reduces a floating-point number over [`u64::MAX`] to [`u64::MAX`].
+/// A non-negative integer, which may be written as a floating-point number such as `300000.0`.
+/// Reading drops the fraction, and reads any number over [`u64::MAX`] as [`u64::MAX`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WholeNumber(pub u64);
 
@@ -114,7 +114,8 @@
     }
 }
 
-/// A value for which the wrong type is no error while reading, because the value may not be used.
+/// A value that is read without an error even if it has the wrong type, because it may never be
+/// used.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Tolerant<T> {
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -58,7 +58,7 @@
     /// The settings of an instance cannot be read.
     #[error("Born: setup: {0}")]
     SettingsRead(#[from] SettingsReadError),
-    /// The settings of an instance have an invalid value.
+    /// The settings of an instance can be read but are invalid.
     #[error("Born: setup: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/crates/sim-adapter/src/event_message.rs
+++ b/crates/sim-adapter/src/event_message.rs
@@ -12,10 +12,10 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// The keys that every message has.
+/// The keys that identify the type of a message and its instance.
 #[derive(Deserialize)]
 pub struct Envelope<'a> {
-    /// Name of the message.
+    /// Name of the message, which is its type.
     #[serde(borrow)]
     pub event_type: Cow<'a, str>,
     /// Id of the instance that the message is for. `Clock` and `End` have none.
@@ -46,7 +46,7 @@
 /// The `PeersKnown` message, which holds the endpoint list or changes to it.
 #[derive(Deserialize)]
 struct PeersKnown {
-    /// 1 or 3 for the complete list, 2 for changed entries only, 0 if the poll failed.
+    /// 1 or 3 for the complete list, 2 for changed entries only, 0 if the poll for the list failed.
     mode: WholeNumber,
     #[serde(rename = "items")]
     entries: Option<Vec<Object<EndpointListEntry>>>,
@@ -229,7 +229,8 @@
     })
 }
 
-/// Reads the keys that every message has.
+/// Reads the type of a message and its instance. Returns an error if the line is not JSON, or not
+/// an object with valid values for these keys.
 pub fn read_envelope(line: &str) -> Result<Envelope<'_>, LineError> {
     match read_str(line) {
         Ok(Object(envelope)) => Ok(envelope),
