--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -1,23 +1,26 @@
-//! The bounds of machines of different sizes.
+//! Limits derived from the size of the machine.
 
 use edge_proxy::limits::Limits;
 
+/// On a small machine, limits that do not add up would exhaust file descriptors or memory. A single
+/// client must not take the whole request table from the others.
 #[test]
-fn bounds_fit_the_smallest_and_the_largest_machine_and_one_client_leaves_room_for_others() {
+fn limits_fit_the_smallest_and_the_largest_machine_and_one_client_leaves_room_for_others() {
     for (descriptors, memory_mb) in [(256, 32), (1024, 192)] {
         let limits = Limits::for_machine(descriptors, memory_mb);
-        // Cache servers, with parents, the origin and some that leave, and the event bus.
+        // Room for cache servers, parents, the origin, some servers that are leaving, and the event
+        // bus.
         assert!(
             limits.connections - limits.client_connections >= 64
                 && limits.connections < descriptors
         );
         assert!(
             limits.client_connections >= descriptors / 3,
-            "what web servers in front may hold"
+            "too few client connections for the web servers in front of the proxy"
         );
         assert!(limits.total_body_bytes + limits.unsent_answer_bytes <= memory_mb << 19);
-        let whole = limits.requests_per_client;
-        assert!(limits.admits(whole, false) && !limits.admits(whole + 1, false));
-        assert!(limits.admits(1, true) && !limits.admits(whole, true));
+        let max_unanswered = limits.requests_per_client;
+        assert!(limits.admits(max_unanswered, false) && !limits.admits(max_unanswered + 1, false));
+        assert!(limits.admits(1, true) && !limits.admits(max_unanswered, true));
     }
 }
--- a/crates/proxy/tests/net.rs
+++ b/crates/proxy/tests/net.rs
@@ -1,4 +1,4 @@
-//! Sockets, buffers, timers and the keyed table.
+//! Buffered sockets, ring buffers, the poller, timers and the slab.
 
 use edge_proxy::net::{BufferedSocket, IoProgress, Poller, RingBuffer, Slab, SlabKey, TimerQueue};
 use rustix::net::sockopt;
@@ -6,6 +6,8 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
 
+/// Slots are reused. A late timer or event with the key of a removed connection must not affect the
+/// connection that has taken its slot.
 #[test]
 fn the_key_of_a_removed_entry_does_not_find_the_next_one_in_its_slot() {
     let mut slab = Slab::new(1);
@@ -18,6 +20,8 @@
     assert_eq!(SlabKey::from_u64(new.to_u64()), new);
 }
 
+/// Contents that wrap around the end of the buffer must come out in order, and a full buffer must
+/// accept no more bytes than it has room for.
 #[test]
 fn a_ring_buffer_returns_bytes_in_order_across_its_end() {
     let mut ring = RingBuffer::new(5);
@@ -36,6 +40,8 @@
     assert_eq!((ring.push(&[7; 9]), ring.free_space()), (5, 0));
 }
 
+/// With buffers of full size from the start, many idle connections would exhaust the memory.
+/// Contents must survive the growth of a buffer.
 #[test]
 fn a_ring_buffer_allocates_as_needed_and_frees_when_empty() {
     let mut ring = RingBuffer::new(64 << 10);
@@ -48,11 +54,11 @@
         sent.extend_from_slice(&bytes[..stored]);
         assert!(
             ring.allocated() <= (2 * ring.len()).max(RingBuffer::MIN_ALLOCATION),
-            "{} for {}",
+            "{} bytes are allocated for {} bytes of contents",
             ring.allocated(),
             ring.len()
         );
-        // The contents are moved as the buffer grows, also while they wrap around its end.
+        // When the buffer grows, its contents are moved, even if they wrap around its end.
         let half = ring.readable().len() / 2;
         received.extend_from_slice(&ring.readable()[..half]);
         ring.consume(half);
@@ -60,14 +66,13 @@
     while !ring.is_empty() {
         ring.write_to(&mut received).unwrap();
     }
-    assert!(
-        received == sent,
-        "bytes come out in the order in which they went in"
-    );
+    assert!(received == sent, "bytes were lost, changed or reordered");
     ring.release_memory();
     assert_eq!(ring.allocated(), 0);
 }
 
+/// A socket with a full input buffer is not watched for reading. A reset must still be noticed, or
+/// the dead connection would go on taking its slot.
 #[test]
 fn a_full_input_buffer_stops_reading_but_still_reports_a_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -76,7 +81,8 @@
     peer.write_all(b"123456").unwrap();
     while socket.read(false) != IoProgress::WouldBlock || socket.input.free_space() > 0 {}
     let mut poller = Poller::new(4).unwrap();
-    // Its buffer is full and there is nothing to write, so that it is watched for nothing.
+    // The input buffer is full and there is nothing to write, so the poller watches the socket
+    // neither for reading nor for writing.
     socket.watch(&poller, 7).unwrap();
     sockopt::set_socket_linger(&peer, Some(Duration::ZERO)).unwrap();
     drop(peer);
@@ -86,15 +92,17 @@
     }
     assert!(
         ready[0].broken && ready[0].read,
-        "a reset is reported without any interest"
+        "the reset of a socket without any interest was not reported"
     );
     assert_eq!(socket.read(false), IoProgress::WouldBlock);
     assert_eq!(socket.read(ready[0].broken), IoProgress::Broken);
 }
 
+/// A socket with a full input buffer is not watched for reading. A client that closes its half must
+/// still be noticed, and waiting input must not make the poller spin.
 #[test]
 fn a_full_input_buffer_still_reports_that_the_peer_has_ended_its_half() {
-    /// Far more than the peer's end takes to arrive on loopback.
+    /// Much longer than the end of the peer's half takes to arrive on loopback.
     const WAIT_US: u64 = 5_000_000;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -108,10 +116,16 @@
     let mut ready = Vec::new();
     poller.wait(WAIT_US, &mut ready).unwrap();
 
-    assert_eq!(ready.len(), 1, "the end is reported, not the input");
+    assert_eq!(
+        ready.len(),
+        1,
+        "the end of the peer's half was not reported, or more than that"
+    );
     assert!(ready[0].peer_closed && !ready[0].broken);
 }
 
+/// Timers with equal times must fire in the order in which they were set, each once, and a
+/// cancelled timer must never fire.
 #[test]
 fn timers_come_due_in_order_once_and_can_be_cancelled() {
     let mut timers = TimerQueue::default();
--- a/crates/proxy/tests/protocol.rs
+++ b/crates/proxy/tests/protocol.rs
@@ -1,5 +1,5 @@
-//! The codecs against valid input that is split at random places, against random garbage, and at
-//! their limits.
+//! Codecs with valid input that is split at random offsets, with random garbage, and with input
+//! beyond their limits.
 
 mod support;
 
@@ -9,10 +9,12 @@
 use proptest::prelude::*;
 use support::parsing::{assert_robust, parse_all, seeded_config};
 
+/// Generates numbers from which the offsets of splits are derived.
 fn splits() -> impl Strategy<Value = Vec<usize>> {
     vec(any::<usize>(), 0..8)
 }
 
+/// Generates random bytes, fewer than `length_limit`.
 fn bytes(length_limit: usize) -> impl Strategy<Value = Vec<u8>> {
     vec(any::<u8>(), 0..length_limit)
 }
@@ -21,7 +23,8 @@
     bytes(99)
 }
 
-/// Joins the pieces of each body: they are split where the input was, only their sum is the same.
+/// Joins the pieces of each body. Bodies are split where the input is, so only their concatenation
+/// can be compared.
 fn join_bodies(pieces: Vec<Piece>) -> Vec<Piece> {
     let mut joined: Vec<Piece> = Vec::new();
     for piece in pieces {
@@ -33,6 +36,7 @@
     joined
 }
 
+/// Returns the concatenated body of all pieces.
 fn body_of(pieces: &[Piece]) -> Vec<u8> {
     let mut body = Vec::new();
     for piece in pieces {
@@ -49,6 +53,7 @@
     request
 }
 
+/// Returns a request whose body is sent in chunks, with chunk extensions and a trailer.
 fn chunked_http_request(body: &[u8], chunk_length: usize) -> Vec<u8> {
     let mut request = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
     for chunk in body.chunks(chunk_length) {
@@ -60,7 +65,7 @@
     request
 }
 
-/// A FastCGI record with padding, which the writer never makes.
+/// Writes a FastCGI record with padding, which the proxy's own writer never adds.
 fn write_padded_record(out: &mut Vec<u8>, record: &fastcgi::Record, padding: u8) {
     const PADDING_LENGTH_OFFSET: usize = 6;
     let start = out.len();
@@ -69,6 +74,7 @@
     out.extend(vec![0; usize::from(padding)]);
 }
 
+/// Generates the type, id, content and padding length of a FastCGI record.
 fn padded_record() -> impl Strategy<Value = (u8, u16, Vec<u8>, u8)> {
     (any::<u8>(), any::<u16>(), bytes(300), any::<u8>())
 }
@@ -76,6 +82,8 @@
 proptest! {
     #![proptest_config(seeded_config(128))]
 
+    /// Input may be split anywhere by the network, and clients may pad records. Neither may change
+    /// the records that are read, and garbage must not cause a panic.
     #[test]
     fn fastcgi_records_are_read_as_written(
         padded_records in vec(padded_record(), 1..5),
@@ -94,6 +102,8 @@
         prop_assert_eq!(read, written);
     }
 
+    /// Names and values longer than 127 bytes have a length of four bytes instead of one. Both
+    /// forms must be read correctly, and garbage must not cause a panic.
     #[test]
     fn fastcgi_parameters_are_read_as_written(
         pairs in vec(("[A-Z_]{0,200}", "[ -~]{0,200}"), 0..5),
@@ -108,6 +118,8 @@
         let _ = fastcgi::read_begin(&garbage);
     }
 
+    /// Input from cache servers may be split anywhere by the network. This must not change the
+    /// arrays that are read, and garbage must not cause a panic.
     #[test]
     fn resp_arrays_are_read_as_written(
         arrays in vec(vec(bytes(200), 1..5), 1..4),
@@ -126,6 +138,8 @@
         let _ = resp::field(&garbage, "a");
     }
 
+    /// A body may have a stated length or come in chunks, and input may be split anywhere. This
+    /// must not change the message that is read, and garbage must not cause a panic.
     #[test]
     fn http_messages_are_read_as_written(
         body in bytes(300),
@@ -146,6 +160,8 @@
         prop_assert_eq!(read.last(), Some(&Piece::End));
     }
 
+    /// Lines of an event stream may end with LF or CRLF, and input may be split anywhere, even
+    /// within a line end. This must not change the events that are read.
     #[test]
     fn server_sent_events_are_read_as_written(
         id_and_data in vec((any::<u16>(), "[ -~]{1,80}"), 1..5),
@@ -165,6 +181,8 @@
     }
 }
 
+/// A peer may announce a length that it never sends. The codec must reject it when it is announced,
+/// before memory is reserved or the proxy waits for the bytes.
 #[test]
 fn announced_lengths_are_checked_against_the_limits_at_once() {
     assert_eq!(
@@ -186,6 +204,8 @@
     );
 }
 
+/// With two length indications, the proxy and another server could disagree on where a request
+/// ends, which allows request smuggling.
 #[test]
 fn an_http_body_with_two_length_indications_is_rejected() {
     for second in ["Content-Length: 1", "Transfer-Encoding: chunked"] {
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -1,4 +1,4 @@
-//! The request table alone: requests, attempts and final answers without any wire.
+//! The request table alone: requests, attempts and final answers, without connections or protocols.
 
 use edge_proxy::limits::Limits;
 use edge_proxy::net::SlabKey;
@@ -11,10 +11,11 @@
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-const NOW: u64 = 1_000_000_000;
-/// How long a client waits that `read_request` speaks for.
+const NOW_US: u64 = 1_000_000_000;
+/// How long the client of a `read_request` waits for its answer.
 const CLIENT_BUDGET_US: u64 = 1_000_000;
 
+/// Returns an entry of the endpoint list.
 fn listed_server(uid: &str, zone: &str, kind: &str, state: EndpointState) -> ListedServer {
     ListedServer {
         endpoint: Endpoint {
@@ -31,15 +32,17 @@
     }
 }
 
+/// Returns an endpoint list entry of a cache server in the proxy's own zone.
 fn cache_server(uid: &str, state: EndpointState) -> ListedServer {
     listed_server(uid, "here", "cache", state)
 }
 
-/// A table with the cache servers `a` and `b` and the origin `o`, all ready.
+/// Returns a table with the cache servers `a` and `b` and the origin `o`, all ready.
 fn new_table(limits: &Limits) -> RequestTable {
     new_table_with_settings(&sample_settings(), limits)
 }
 
+/// Returns the same table as `new_table`, with other settings.
 fn new_table_with_settings(settings: &Value, limits: &Limits) -> RequestTable {
     let settings = edge_settings::from_json(settings).unwrap();
     let mut request_table = RequestTable::new(settings, 1, limits).unwrap();
@@ -48,7 +51,7 @@
         cache_server("b", EndpointState::Ready),
         listed_server("o", "hub", "origin", EndpointState::Ready),
     ];
-    request_table.update_endpoints(NOW, EndpointListMode::Snapshot, servers);
+    request_table.update_endpoints(NOW_US, EndpointListMode::Snapshot, servers);
     request_table.take_commands();
     request_table
 }
@@ -64,7 +67,7 @@
     }
 }
 
-/// A request under an id of its own, with a body of so many bytes.
+/// Returns a request with a unique id and a body of `body_bytes` bytes.
 fn request_with_body(body_bytes: usize) -> ClientRequest {
     static NEXT_ID: AtomicU64 = AtomicU64::new(1);
     ClientRequest {
@@ -78,17 +81,18 @@
     }
 }
 
+/// Returns a request with a unique id and no body.
 fn read_request() -> ClientRequest {
     request_with_body(0)
 }
 
-/// Admits a request for the client of this stream, now.
+/// Admits a request at `NOW_US` for the client of the given stream.
 fn admit(
     request_table: &mut RequestTable,
     stream: u32,
     request: ClientRequest,
 ) -> Result<RequestKey, AdmissionError> {
-    request_table.admit(NOW, response_target(stream), request)
+    request_table.admit(NOW_US, response_target(stream), request)
 }
 
 /// Admits a request and returns its key and its first attempt.
@@ -98,8 +102,8 @@
     (request_key, attempt)
 }
 
-/// Admits a request and returns its first attempt, and its deadline timer with the time for which
-/// it is set.
+/// Admits a request and returns its first attempt, the time of its deadline timer in microseconds,
+/// and the timer.
 fn admit_until_deadline(request_table: &mut RequestTable) -> (AttemptId, u64, RequestTimer) {
     admit(request_table, 1, read_request()).unwrap();
     let commands = request_table.take_commands();
@@ -112,13 +116,15 @@
     (attempt, at, timer)
 }
 
-/// An object was purged at a time; the table hears of it 20 us after `NOW`.
+/// Notifies the table, 20 us after `NOW_US`, of a purge of an object at the time `at`.
 fn purge_object(request_table: &mut RequestTable, object: &str, at: u64) {
-    // A purge of another object that is heard of as it is made: the clock is not behind the stamps.
-    request_table.purged(NOW + 20, Some("other".to_owned()), 0, NOW + 20);
-    request_table.purged(NOW + 20, Some(object.to_owned()), 0, at);
+    // A purge of another object that arrives at its own time shows that the clock is not behind
+    // the timestamps of purges.
+    request_table.purged(NOW_US + 20, Some("other".to_owned()), 0, NOW_US + 20);
+    request_table.purged(NOW_US + 20, Some(object.to_owned()), 0, at);
 }
 
+/// Returns the first attempt that the commands send, if there is one.
 fn started_attempt(commands: &[Command]) -> Option<AttemptId> {
     commands.iter().find_map(|command| match command {
         Command::SendAttempt(attempt) => Some(*attempt),
@@ -126,12 +132,14 @@
     })
 }
 
+/// Returns whether the commands cancel an attempt.
 fn is_cancelled(commands: &[Command], attempt: AttemptId) -> bool {
     commands
         .iter()
         .any(|command| matches!(command, Command::CancelAttempt(id, _) if *id == attempt))
 }
 
+/// Returns the latest time for which the commands set a timer, in microseconds.
 fn latest_timer(commands: &[Command]) -> Option<u64> {
     let times = commands.iter().filter_map(|command| match command {
         Command::SetTimer(at, _) => Some(*at),
@@ -140,6 +148,7 @@
     times.max()
 }
 
+/// Returns the final answers among the commands.
 fn answers(commands: &[Command]) -> Vec<Answer> {
     let answers = commands.iter().filter_map(|command| match command {
         Command::Respond(_, answer) => Some(answer.clone()),
@@ -148,6 +157,7 @@
     answers.collect()
 }
 
+/// Returns the result of an attempt that was answered with an object.
 fn served() -> AttemptResult {
     AttemptResult {
         content: Some(Content::Object {
@@ -158,27 +168,33 @@
     }
 }
 
+/// The result of an attempt may be reported twice, and a deadline timer may fire after the final
+/// answer. Neither may cause a second answer.
 #[test]
-fn nothing_after_the_final_answer_gives_a_second_one() {
+fn no_event_after_the_final_answer_causes_a_second_one() {
     let mut request_table = new_table(&limits());
     let (request_key, attempt) = admit_and_start(&mut request_table);
     assert_eq!(attempt.request_key, request_key);
-    request_table.attempt_ended(NOW + 10, attempt, served());
+    request_table.attempt_ended(NOW_US + 10, attempt, served());
     assert_eq!(answers(&request_table.take_commands()).len(), 1);
 
-    request_table.attempt_ended(NOW + 11, attempt, served());
-    request_table.timer_fired(NOW + 2_000_000, RequestTimer::Deadline(request_key));
+    request_table.attempt_ended(NOW_US + 11, attempt, served());
+    request_table.timer_fired(NOW_US + 2_000_000, RequestTimer::Deadline(request_key));
     assert_eq!(request_table.take_commands(), []);
     assert!(request_table.is_idle());
 }
 
+/// An answer needs time to reach the client. One sent exactly when the client's time is over would
+/// arrive too late.
 #[test]
-fn the_deadline_leaves_the_answer_its_lead() {
+fn the_deadline_precedes_the_end_of_the_clients_wait_by_the_answer_lead() {
     let mut request_table = new_table(&limits());
     let (_, at, _) = admit_until_deadline(&mut request_table);
-    assert_eq!(at, NOW + CLIENT_BUDGET_US - limits().answer_lead_us);
+    assert_eq!(at, NOW_US + CLIENT_BUDGET_US - limits().answer_lead_us);
 }
 
+/// At the deadline the client must get an answer with retry advice, and the attempt must not go on
+/// using its server.
 #[test]
 fn at_the_deadline_the_attempt_is_cancelled_and_the_request_rejected() {
     let mut request_table = new_table(&limits());
@@ -198,6 +214,8 @@
     ));
 }
 
+/// The cancellation of an attempt may cross its answer. After the rejection at the deadline, that
+/// answer must not be sent as a second one.
 #[test]
 fn a_result_after_the_deadline_gives_no_answer() {
     let mut request_table = new_table(&limits());
@@ -209,29 +227,32 @@
     assert_eq!(answers(&request_table.take_commands()), []);
 }
 
+/// A cancelled attempt is in flight until its end is reported. A retry started before would make
+/// two servers work on one request at the same time.
 #[test]
 fn a_retry_starts_only_after_the_attempt_before_has_ended() {
     let mut request_table = new_table(&limits());
     let (_, first) = admit_and_start(&mut request_table);
-    // The router's timer fires until it takes the attempt for stalled and cancels it.
-    let mut now = NOW;
+    // The router's timer fires until the router considers the attempt stalled and cancels it.
+    let mut now = NOW_US;
     let mut cancelled = false;
-    while !cancelled && now < NOW + 900_000 {
+    while !cancelled && now < NOW_US + 900_000 {
         now += 50_000;
         request_table.timer_fired(now, RequestTimer::Router(0));
         let commands = request_table.take_commands();
         assert_eq!(
             started_attempt(&commands),
             None,
-            "two attempts would be in flight at once"
+            "a retry was started while the first attempt was in flight"
         );
         cancelled = is_cancelled(&commands, first);
     }
-    assert!(cancelled);
+    assert!(cancelled, "the router never cancelled the stalled attempt");
 
     request_table.attempt_ended(now, first, Outcome::Cancelled.into());
     let commands = request_table.take_commands();
-    let second = started_attempt(&commands).expect("a retry");
+    let second = started_attempt(&commands)
+        .expect("no retry was started after the cancelled attempt had ended");
     assert_eq!(answers(&commands), []);
     assert_eq!(second.number, 1);
 
@@ -239,16 +260,18 @@
     assert_eq!(answers(&request_table.take_commands()).len(), 1);
 }
 
+/// A server may answer before the cancellation reaches it. The answer is valid and must not be
+/// discarded for a retry.
 #[test]
 fn an_answer_that_crosses_its_cancellation_is_still_served() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
     for tick in 1..18 {
-        request_table.timer_fired(NOW + 50_000 * tick, RequestTimer::Router(0));
+        request_table.timer_fired(NOW_US + 50_000 * tick, RequestTimer::Router(0));
     }
     assert!(is_cancelled(&request_table.take_commands(), attempt));
 
-    request_table.attempt_ended(NOW + 900_000, attempt, served());
+    request_table.attempt_ended(NOW_US + 900_000, attempt, served());
     assert!(matches!(
         answers(&request_table.take_commands())[..],
         [Answer::Served(_)]
@@ -256,26 +279,31 @@
     assert!(request_table.is_idle());
 }
 
+/// Without the cancellation, a server would go on working for a client that has disconnected.
 #[test]
 fn the_attempt_of_a_disconnected_client_is_cancelled() {
     let mut request_table = new_table(&limits());
     let (request_key, attempt) = admit_and_start(&mut request_table);
-    request_table.client_disconnected(NOW, request_key);
+    request_table.client_disconnected(NOW_US, request_key);
     assert!(is_cancelled(&request_table.take_commands(), attempt));
 }
 
+/// The slot of a disconnected client's request must stay taken while the attempt is in flight, and
+/// must be freed afterwards.
 #[test]
 fn a_disconnected_client_gets_no_answer_and_its_slot_is_free_after_its_attempt() {
     let mut request_table = new_table(&limits());
     let (request_key, attempt) = admit_and_start(&mut request_table);
-    request_table.client_disconnected(NOW, request_key);
+    request_table.client_disconnected(NOW_US, request_key);
     assert!(!request_table.is_idle());
 
-    request_table.attempt_ended(NOW, attempt, Outcome::Cancelled.into());
+    request_table.attempt_ended(NOW_US, attempt, Outcome::Cancelled.into());
     assert_eq!(answers(&request_table.take_commands()), []);
     assert!(request_table.is_idle());
 }
 
+/// Where the settings forbid cancellation, an attempt may already be running. It can only be
+/// removed from the queue, and must stay known until its end is reported.
 #[test]
 fn without_cancellation_an_abandoned_attempt_is_dequeued_but_stays_in_flight() {
     let mut settings = sample_settings();
@@ -284,7 +312,7 @@
     let (request_key, attempt) = admit_and_start(&mut request_table);
     let (_, spec) = request_table.attempt_spec(attempt).unwrap();
     let server = spec.server;
-    request_table.client_disconnected(NOW, request_key);
+    request_table.client_disconnected(NOW_US, request_key);
     assert_eq!(
         request_table.take_commands(),
         [Command::DequeueAttempt(attempt, server)]
@@ -292,6 +320,8 @@
     assert!(request_table.attempt_spec(attempt).is_some());
 }
 
+/// The bodies of all open requests are held in memory. Without a limit on their sum, many large
+/// requests would exhaust it. The room must be freed when a request ends.
 #[test]
 fn bodies_beyond_the_limit_are_not_admitted_until_there_is_room() {
     let mut request_table = new_table(&Limits {
@@ -306,10 +336,12 @@
 
     let attempt = started_attempt(&request_table.take_commands()).unwrap();
     assert_eq!(attempt.request_key, first);
-    request_table.attempt_ended(NOW, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served());
     assert!(admit(&mut request_table, 2, request_with_body(60)).is_ok());
 }
 
+/// The table is bounded. A request beyond the limit must be refused, and a slot must become free
+/// when a request ends.
 #[test]
 fn a_full_table_admits_no_request_until_there_is_room() {
     let mut request_table = new_table(&Limits {
@@ -325,10 +357,12 @@
 
     let attempt = started_attempt(&request_table.take_commands()).unwrap();
     assert_eq!(attempt.request_key, first);
-    request_table.attempt_ended(NOW, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served());
     assert!(admit(&mut request_table, 3, read_request()).is_ok());
 }
 
+/// Two clients may use one request id. Cache servers and the proxy tell requests apart by the id
+/// alone.
 #[test]
 fn an_id_is_not_admitted_twice_while_its_request_is_pending() {
     let mut request_table = new_table(&limits());
@@ -342,13 +376,14 @@
     assert_eq!(
         admit(&mut request_table, 2, same_id.clone()),
         Err(AdmissionError::DuplicateId),
-        "a cache server would take the two for one"
+        "a cache server would treat two requests with one id as the same request"
     );
 
-    request_table.attempt_ended(NOW, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served());
     assert!(admit(&mut request_table, 2, same_id).is_ok());
 }
 
+/// Without its idempotency key, a retried write could run twice at the origin.
 #[test]
 fn a_class_with_idempotency_keys_admits_no_request_without_one() {
     let mut request_table = new_table(&limits());
@@ -367,47 +402,54 @@
     assert!(admit(&mut request_table, 1, with_key).is_ok());
 }
 
+/// Attempts queued for a draining server must be withdrawn before any other command can send them.
 #[test]
-fn a_draining_server_is_withdrawn_before_anything_else() {
+fn withdrawal_from_a_draining_server_is_the_first_command() {
     let mut request_table = new_table(&limits());
     let draining = vec![cache_server("a", EndpointState::Draining)];
-    request_table.update_endpoints(NOW, EndpointListMode::Delta, draining);
+    request_table.update_endpoints(NOW_US, EndpointListMode::Delta, draining);
     assert_eq!(
         request_table.take_commands().first(),
         Some(&Command::DrainServer(server_id("a")))
     );
 }
 
+/// A snapshot lists all servers. Servers that are missing from it must be forgotten, or the table
+/// would grow with every new server id.
 #[test]
 fn a_server_missing_from_a_snapshot_is_withdrawn_and_forgotten() {
     let mut request_table = new_table(&limits());
     let without_b = vec![cache_server("a", EndpointState::Draining)];
-    request_table.update_endpoints(NOW, EndpointListMode::Snapshot, without_b);
+    request_table.update_endpoints(NOW_US, EndpointListMode::Snapshot, without_b);
     assert!(request_table
         .take_commands()
         .contains(&Command::DrainServer(server_id("b"))));
     assert_eq!(
         request_table.address_of(server_id("b")),
         None,
-        "new servers come under new ids all day long"
+        "a server that left the list is still stored, and servers with new ids keep joining"
     );
 }
 
+/// A draining server still finishes the attempts that it has, for which its address is needed, but
+/// it must not get new ones.
 #[test]
 fn a_draining_server_takes_no_new_work_and_keeps_its_address() {
     let mut request_table = new_table(&limits());
     let only_draining = vec![cache_server("a", EndpointState::Draining)];
     for mode in [EndpointListMode::Delta, EndpointListMode::Snapshot] {
-        request_table.update_endpoints(NOW, mode, only_draining.clone());
+        request_table.update_endpoints(NOW_US, mode, only_draining.clone());
     }
     assert!(!request_table.is_ready());
     assert!(!request_table.accepts_work(server_id("a")));
     assert!(
         request_table.address_of(server_id("a")).is_some(),
-        "it finishes what it has"
+        "the address is needed until the server has finished its attempts"
     );
 }
 
+/// A request that is rejected at once must not leave a timer until its distant deadline. In a flood
+/// of such requests these timers would fill the memory.
 #[test]
 fn a_request_rejected_at_once_leaves_no_timer_beyond_the_sweep_interval() {
     let mut request_table = new_table(&limits());
@@ -418,14 +460,20 @@
     };
     admit(&mut request_table, 1, unknown_class).unwrap();
     let commands = request_table.take_commands();
-    assert_eq!(answers(&commands).len(), 1, "rejected at once");
+    assert_eq!(
+        answers(&commands).len(),
+        1,
+        "the request of an unknown class was not answered at once"
+    );
     assert!(request_table.is_idle());
     assert!(
-        latest_timer(&commands).is_none_or(|at| at <= NOW + limits().deadline_sweep_us),
-        "those of a flood of requests would add up"
+        latest_timer(&commands).is_none_or(|at| at <= NOW_US + limits().deadline_sweep_us),
+        "timers of rejected requests would accumulate in a flood of requests"
     );
 }
 
+/// The deadline timer fires at short intervals so that ended requests leave the memory early. A
+/// pending request must be kept and answered only at its deadline.
 #[test]
 fn a_pending_request_is_swept_until_its_deadline() {
     let mut request_table = new_table(&limits());
@@ -434,41 +482,55 @@
         ..read_request()
     };
     let request_key = admit(&mut request_table, 1, two_minutes).unwrap();
-    let mut now = NOW;
+    let mut now = NOW_US;
     let mut sweeps = 0;
     while answers(&request_table.take_commands()).is_empty() {
         now += limits().deadline_sweep_us;
         request_table.timer_fired(now, RequestTimer::Deadline(request_key));
         sweeps += 1;
     }
-    assert_eq!(sweeps, 120, "its deadline");
+    assert_eq!(
+        sweeps, 120,
+        "the request was not answered at its deadline of 120 s"
+    );
 }
 
+/// A purge may arrive while an attempt is in flight. The copy in its answer must be younger than
+/// the purge.
 #[test]
 fn a_purge_bounds_the_age_of_copies_for_attempts_in_flight() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
-    purge_object(&mut request_table, "00000000000000a1", NOW + 13);
+    purge_object(&mut request_table, "00000000000000a1", NOW_US + 13);
     let (_, spec) = request_table.attempt_spec(attempt).unwrap();
     assert_eq!(spec.max_age_us, Some(7));
 }
 
+/// The wall clock may be wrong at the start. Until another timestamp shows the fleet's time, only
+/// the arrival of a purge is a safe bound for the age of copies.
 #[test]
-fn before_anything_tells_of_the_time_a_purge_counts_from_when_it_is_heard_of() {
+fn until_a_timestamp_confirms_the_clock_a_purge_counts_from_its_arrival() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
-    request_table.purged(NOW + 20, Some("00000000000000a1".to_owned()), 0, NOW + 13);
+    request_table.purged(
+        NOW_US + 20,
+        Some("00000000000000a1".to_owned()),
+        0,
+        NOW_US + 13,
+    );
     let (_, spec) = request_table.attempt_spec(attempt).unwrap();
     assert_eq!(
         spec.max_age_us,
         Some(1),
-        "the clock may be ahead of the stamp"
+        "the age limit relies on a timestamp, but the clock may be ahead of it"
     );
 }
 
+/// Purges may arrive out of order. An older purge that arrives last must not relax the age limit of
+/// a newer one.
 #[test]
-fn the_newest_of_several_purges_counts_in_whatever_order_they_come() {
-    for purged_at in [[NOW + 5, NOW + 13], [NOW + 13, NOW + 5]] {
+fn the_newest_of_several_purges_counts_in_any_order_of_arrival() {
+    for purged_at in [[NOW_US + 5, NOW_US + 13], [NOW_US + 13, NOW_US + 5]] {
         let mut request_table = new_table(&limits());
         let (_, attempt) = admit_and_start(&mut request_table);
         for at in purged_at {
@@ -479,24 +541,28 @@
     }
 }
 
+/// A purge must not limit the age of copies of objects that it does not name, which would cause
+/// needless fills.
 #[test]
 fn a_purge_of_another_object_leaves_attempts_as_they_are() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
     let before = *request_table.attempt_spec(attempt).unwrap().1;
-    purge_object(&mut request_table, "00000000000000b2", NOW + 13);
+    purge_object(&mut request_table, "00000000000000b2", NOW_US + 13);
     assert_eq!(*request_table.attempt_spec(attempt).unwrap().1, before);
 }
 
+/// The counters must add up: every admitted request is counted as served, rejected, failed or
+/// disconnected, and under one of these only.
 #[test]
 fn every_admitted_request_is_counted_under_one_ending() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
-    request_table.attempt_ended(NOW, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served());
     let (request_key, _) = admit_and_start(&mut request_table);
-    request_table.client_disconnected(NOW, request_key);
+    request_table.client_disconnected(NOW_US, request_key);
     admit_and_start(&mut request_table);
-    request_table.fail_all_pending(NOW);
+    request_table.fail_all_pending(NOW_US);
     let unknown_class = ClientRequest {
         class: "no-such-class".into(),
         ..read_request()
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What the tests of the proxy share.
+//! Helpers shared by the integration tests of the proxy.
 
 pub mod parsing;
--- a/crates/proxy/tests/support/upstream.rs
+++ b/crates/proxy/tests/support/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection to a cache server over a pair of sockets, driven by hand.
+//! Fixture for a connection to a cache server over a pair of sockets. Tests drive both sides.
 
 use edge_proxy::limits::Limits;
 use edge_proxy::net::{BufferedSocket, IoProgress, SlabKey};
@@ -13,65 +13,67 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// The time at which each test starts, in microseconds.
-pub const NOW: Micros = 1_000_000_000;
+/// Time at which each test starts, in microseconds.
+pub const START_US: Micros = 1_000_000_000;
 
-/// How an attempt ended.
+/// The outcome with which an attempt ended.
 #[derive(Debug, PartialEq)]
-pub struct End {
+pub struct AttemptEnd {
     pub attempt: AttemptId,
     pub outcome: Outcome,
 }
 
-impl End {
+impl AttemptEnd {
     pub fn new(attempt: AttemptId, outcome: Outcome) -> Self {
-        End { attempt, outcome }
+        AttemptEnd { attempt, outcome }
     }
 }
 
-/// The ends that these events report. Any other event fails the test.
-fn ends(events: Vec<UpstreamEvent>) -> Vec<End> {
+/// Returns the ends of attempts that the events report. Panics on any other event.
+fn attempt_ends(events: Vec<UpstreamEvent>) -> Vec<AttemptEnd> {
     let end = |event| match event {
-        UpstreamEvent::AttemptEnded(attempt, result) => End::new(attempt, result.outcome),
-        UpstreamEvent::ProbeEnded(..) => panic!("{event:?}"),
+        UpstreamEvent::AttemptEnded(attempt, result) => AttemptEnd::new(attempt, result.outcome),
+        UpstreamEvent::ProbeEnded(..) => {
+            panic!("unexpected event instead of the end of an attempt: {event:?}")
+        }
     };
     events.into_iter().map(end).collect()
 }
 
-/// A connection to one server, over a pair of sockets.
+/// A connection to one server over a pair of sockets, with the request table that it serves.
 pub struct Fixture {
     pub request_table: RequestTable,
     pub connection: UpstreamConnection,
     pub socket: BufferedSocket,
-    /// The server's end.
+    /// Socket of the server.
     pub server_socket: TcpStream,
     pub limits: Limits,
     pub server: ServerId,
     pub events: Vec<UpstreamEvent>,
     pub now: Micros,
-    /// All attempts sent so far, with the ids of their requests.
+    /// All attempts sent so far, each with the id of its request.
     sent: Vec<(String, AttemptId)>,
 }
 
 impl Fixture {
-    /// A connection to a cache server that is up.
+    /// Creates an established connection to a cache server.
     pub fn connected() -> Self {
         Fixture::new("here", "cache", true)
     }
 
-    /// A connection to a cache server that was begun and is not up yet.
+    /// Creates a connection to a cache server that is not established yet.
     pub fn connecting() -> Self {
         Fixture::new("here", "cache", false)
     }
 
-    /// A connection to a server of this kind in this zone.
+    /// Creates a connection to a server of the given kind in the given zone.
     pub fn new(zone: &str, kind: &str, connected: bool) -> Self {
         let limits = Limits::for_machine(1024, 192);
         let settings = edge_settings::from_json(&sample_settings()).unwrap();
         let mut request_table = RequestTable::new(settings, 1, &limits).unwrap();
         let server = server_id("a");
         let listed = listed_server(zone, kind);
-        request_table.update_endpoints(NOW, EndpointListMode::Snapshot, vec![listed]);
+        request_table.update_endpoints(START_US, EndpointListMode::Snapshot, vec![listed]);
         let (client_socket, server_socket) = socket_pair();
         let socket = BufferedSocket::new(
             client_socket,
@@ -81,21 +83,23 @@
         );
         Fixture {
             request_table,
-            connection: UpstreamConnection::new(server, &limits, NOW),
+            connection: UpstreamConnection::new(server, &limits, START_US),
             socket: socket.unwrap(),
             server_socket,
             limits,
             server,
             events: Vec::new(),
-            now: NOW,
+            now: START_US,
             sent: Vec::new(),
         }
     }
 
+    /// Enqueues an attempt of a photo request with the given id.
     pub fn send(&mut self, id: &str) -> AttemptId {
         self.send_request(photo_request(id))
     }
 
+    /// Enqueues an attempt of a photo request with the given id and body.
     pub fn send_with_body(&mut self, id: &str, body: Vec<u8>) -> AttemptId {
         self.send_request(ClientRequest {
             body,
@@ -103,7 +107,7 @@
         })
     }
 
-    /// Has the router send an attempt for a request, and enqueues it.
+    /// Admits a request and enqueues the attempt that the router starts for it.
     pub fn send_request(&mut self, request: ClientRequest) -> AttemptId {
         let id = request.id.clone();
         self.end_requests_with(&id);
@@ -118,8 +122,8 @@
         attempt
     }
 
-    /// The request table admits no two requests of one id at a time, so earlier ones have to be
-    /// over.
+    /// Ends all earlier requests with an id. The request table does not admit a request while
+    /// another one with its id is pending.
     fn end_requests_with(&mut self, id: &str) {
         for (_, attempt) in self.sent.iter().filter(|(sent_id, _)| sent_id == id) {
             self.request_table
@@ -129,13 +133,13 @@
         }
     }
 
-    /// The request table learns of a purge of one object.
+    /// Notifies the request table of a purge of one object.
     pub fn purge_object(&mut self, object: &str, purged_at: Micros) {
         self.request_table
             .purged(self.now, Some(object.into()), 0, purged_at);
     }
 
-    /// Enqueues the attempt that the router wants sent, and flushes.
+    /// Enqueues the next attempt that the request table has a send command for, and flushes.
     pub fn enqueue_next(&mut self) -> AttemptId {
         let sent = |command| match command {
             Command::SendAttempt(attempt) => Some(attempt),
@@ -148,11 +152,13 @@
         attempt
     }
 
+    /// Returns the load of the connection, or `None` if it cannot take an attempt with this id.
     pub fn load_if_available(&self, id: &str) -> Option<usize> {
         self.connection
             .load_if_available(id, &self.request_table, &self.limits)
     }
 
+    /// Writes what the connection can write. Returns false if the connection must be closed.
     pub fn flush(&mut self) -> bool {
         self.connection.flush(
             self.now,
@@ -163,12 +169,13 @@
         )
     }
 
+    /// Cancels an attempt. Returns false if the connection must be closed.
     pub fn cancel(&mut self, attempt: AttemptId) -> bool {
         self.connection
             .cancel(self.now, attempt, &mut self.socket, &mut self.events)
     }
 
-    /// Cancels an attempt and waits until that is settled.
+    /// Cancels an attempt and advances the time until the cancellation is reported.
     pub fn cancel_and_settle(&mut self, attempt: AttemptId) {
         assert!(self.cancel(attempt));
         self.flush();
@@ -176,6 +183,7 @@
         self.flush();
     }
 
+    /// Withdraws the unwritten attempts of the server, as its drain does.
     pub fn drain_server(&mut self) -> bool {
         self.connection.drain_server(
             self.server,
@@ -185,18 +193,19 @@
         )
     }
 
-    /// Closes the connection; the ends that were not taken before.
-    pub fn close(mut self, connected: bool) -> Vec<End> {
+    /// Closes the connection and returns the ends of attempts that were not taken before.
+    pub fn close(mut self, connected: bool) -> Vec<AttemptEnd> {
         self.connection
             .close(connected, self.socket.bytes_written, &mut self.events);
-        ends(self.events)
+        attempt_ends(self.events)
     }
 
-    pub fn take_ends(&mut self) -> Vec<End> {
-        ends(std::mem::take(&mut self.events))
+    /// Takes the ends of attempts reported since the last call.
+    pub fn take_attempt_ends(&mut self) -> Vec<AttemptEnd> {
+        attempt_ends(std::mem::take(&mut self.events))
     }
 
-    /// The server sends these bytes, and the connection reads them.
+    /// Sends bytes from the server and has the connection read them.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.server_socket.write_all(bytes).unwrap();
         while self.socket.read(false) != IoProgress::Advanced {}
@@ -210,19 +219,20 @@
             .unwrap();
     }
 
-    /// The server answers with a copy that the origin gave out at this Unix millisecond.
-    pub fn receive_copy(&mut self, id: &str, made_ms: u64) -> Vec<End> {
-        let fields = format!("how=local,made={made_ms}");
+    /// Answers from the server with a copy that the origin gave out at a Unix time in milliseconds.
+    /// Returns the ends of attempts that follow.
+    pub fn receive_copy(&mut self, id: &str, created_at_ms: u64) -> Vec<AttemptEnd> {
+        let fields = format!("how=local,made={created_at_ms}");
         let mut answer = Vec::new();
         resp::write_array(
             &mut answer,
             &[id.as_bytes(), b"200", fields.as_bytes(), b"x"],
         );
         self.receive(&answer);
-        self.take_ends()
+        self.take_attempt_ends()
     }
 
-    /// What the server has received, read until it holds a word this many times.
+    /// Returns what the server receives, read until it contains `word` `count` times.
     pub fn received_by_server(&mut self, word: &str, count: usize) -> String {
         let mut text = String::new();
         let mut bytes = [0; 4096];
@@ -234,6 +244,7 @@
     }
 }
 
+/// Returns the entry of the server under test in the endpoint list.
 fn listed_server(zone: &str, kind: &str) -> ListedServer {
     ListedServer {
         endpoint: Endpoint {
@@ -250,8 +261,8 @@
     }
 }
 
-/// Two connected sockets with little space between them, so that a server which reads nothing is
-/// soon noticed: the proxy's end and the server's.
+/// Returns two connected sockets, first that of the proxy and then that of the server. Their kernel
+/// buffers are small, so that writes soon block when the server reads nothing.
 fn socket_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     sockopt::set_socket_recv_buffer_size(&listener, 4096).unwrap();
@@ -261,6 +272,7 @@
     (client_socket, server_socket)
 }
 
+/// Returns a request of a class that cache servers serve, with an object key derived from the id.
 pub fn photo_request(id: &str) -> ClientRequest {
     ClientRequest {
         id: id.into(),
@@ -272,6 +284,7 @@
     }
 }
 
+/// Returns a write request with an idempotency key, which goes to the origin.
 pub fn post_request(id: &str) -> ClientRequest {
     ClientRequest {
         id: id.into(),
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -1,5 +1,5 @@
-//! Connections to cache servers: what becomes of attempts when they are cancelled or withdrawn,
-//! when an answer is late, old or partial, and when the connection closes.
+//! Connections to cache servers: how attempts end when they are cancelled or withdrawn, when an
+//! answer is late, older than a purge or partial, and when the connection closes.
 
 #[path = "support/upstream.rs"]
 mod fixture;
@@ -7,12 +7,14 @@
 use edge_proxy::request_table::{AttemptId, ClientRequest};
 use edge_proxy::upstream::UpstreamConnection;
 use edge_routing::Outcome;
-use fixture::{photo_request, post_request, End, Fixture, NOW};
+use fixture::{photo_request, post_request, AttemptEnd, Fixture, START_US};
 use std::io::Read;
 
-/// The beginning of a long answer under the id `01`.
+/// First part of a long answer under the id `01`.
 const PARTIAL_ANSWER: &[u8] = b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$9000\r\nbut no mo";
 
+/// A written attempt may have run at the server, a queued one cannot have. The router decides from
+/// this difference whether the request may be retried.
 #[test]
 fn closing_reports_written_attempts_as_reset_and_queued_ones_as_never_sent() {
     let mut fixture = Fixture::connected();
@@ -20,22 +22,24 @@
     let cancelled = fixture.send("02");
     fixture.cancel_and_settle(cancelled);
     assert_eq!(
-        fixture.take_ends(),
-        [End::new(cancelled, Outcome::Cancelled)]
+        fixture.take_attempt_ends(),
+        [AttemptEnd::new(cancelled, Outcome::Cancelled)]
     );
     fixture.socket.connected = false;
     let queued = fixture.send("03");
     let expected = [
-        End::new(queued, Outcome::ConnectFailed),
-        End::new(written, Outcome::Reset),
+        AttemptEnd::new(queued, Outcome::ConnectFailed),
+        AttemptEnd::new(written, Outcome::Reset),
     ];
     assert_eq!(fixture.close(false), expected);
 }
 
+/// The server cannot run a command that it received only in part. Reporting it as reset would rule
+/// out the retry of a request that must not run twice.
 #[test]
 fn closing_reports_an_attempt_written_in_part_as_never_sent() {
     let mut fixture = Fixture::connected();
-    // The server reads nothing, so the socket soon takes an attempt only in part.
+    // The server reads nothing, so the socket soon accepts only a part of an attempt.
     let mut number = 0;
     let mut last = fixture.send("first");
     while fixture.socket.output.is_empty() {
@@ -55,14 +59,18 @@
     }
 }
 
+/// Only a connection that was never established shows that its server is unreachable. Without the
+/// distinction, a server that closes an idle connection would count as down.
 #[test]
 fn a_connection_that_came_up_and_closed_does_not_report_its_server_as_unreachable() {
     let mut fixture = Fixture::connecting();
     let queued = fixture.send("01");
-    let expected = [End::new(queued, Outcome::NotSent)];
+    let expected = [AttemptEnd::new(queued, Outcome::NotSent)];
     assert_eq!(fixture.close(true), expected);
 }
 
+/// A cancelled attempt that stays in the queue would be sent as soon as the connection is
+/// established.
 #[test]
 fn an_attempt_cancelled_before_the_connection_is_up_is_never_written() {
     let mut fixture = Fixture::connecting();
@@ -71,8 +79,8 @@
     fixture.send("03");
     fixture.cancel_and_settle(cancelled);
     assert_eq!(
-        fixture.take_ends(),
-        [End::new(cancelled, Outcome::Cancelled)]
+        fixture.take_attempt_ends(),
+        [AttemptEnd::new(cancelled, Outcome::Cancelled)]
     );
     fixture.socket.connected = true;
     fixture.flush();
@@ -82,6 +90,7 @@
     assert!(text.contains("03-object"));
 }
 
+/// A draining server must get no new work, but finishes attempts that it has already received.
 #[test]
 fn draining_a_server_returns_its_queued_attempts_unsent_and_leaves_the_written_ones() {
     let mut fixture = Fixture::connected();
@@ -89,20 +98,25 @@
     fixture.socket.connected = false;
     let queued = fixture.send("04");
     assert!(fixture.drain_server());
-    assert_eq!(fixture.take_ends(), [End::new(queued, Outcome::NotSent)]);
+    assert_eq!(
+        fixture.take_attempt_ends(),
+        [AttemptEnd::new(queued, Outcome::NotSent)]
+    );
     assert!(!written.contains(&queued));
     assert!(!fixture.connection.is_idle());
 }
 
+/// The router may start a further attempt as soon as a cancellation is reported. If that attempt
+/// reached another server before the abort arrived, both attempts would run at once.
 #[test]
 fn a_cancellation_is_reported_once_the_abort_has_had_time_to_arrive() {
     let mut fixture = Fixture::connected();
     let attempt = fixture.send("01");
     assert!(fixture.cancel(attempt));
     fixture.flush();
-    // The abort is written, but a further attempt at another server might overtake it.
-    assert_eq!(fixture.take_ends(), []);
-    let report_at = NOW + fixture.limits.cancel_settle_us;
+    // The abort is written, but a further attempt at another server could overtake it.
+    assert_eq!(fixture.take_attempt_ends(), []);
+    let report_at = START_US + fixture.limits.cancel_settle_us;
     assert_eq!(
         fixture.connection.next_cancellation_report(&fixture.limits),
         Some(report_at)
@@ -110,9 +124,14 @@
     assert_eq!(fixture.load_if_available("01"), None);
     fixture.now = report_at;
     fixture.flush();
-    assert_eq!(fixture.take_ends(), [End::new(attempt, Outcome::Cancelled)]);
+    assert_eq!(
+        fixture.take_attempt_ends(),
+        [AttemptEnd::new(attempt, Outcome::Cancelled)]
+    );
 }
 
+/// A late answer to a cancelled attempt must not count as the answer to a further attempt of the
+/// same request. The connection therefore remembers the cancelled id for a limited time.
 #[test]
 fn a_reported_cancellation_is_remembered_so_that_a_further_attempt_follows_its_abort() {
     let mut fixture = Fixture::connected();
@@ -120,87 +139,97 @@
     fixture.cancel_and_settle(attempt);
     assert!(fixture.connection.cancelled_recently("01"));
     assert!(fixture.load_if_available("01").is_some());
-    let forgotten_at = NOW + fixture.limits.stream_memory_us + 1;
+    let forgotten_at = START_US + fixture.limits.stream_memory_us + 1;
     fixture
         .connection
         .forget_old_streams(forgotten_at, &fixture.limits);
     assert!(!fixture.connection.cancelled_recently("01"));
 }
 
+/// A cache server that has not yet processed a purge may answer with the purged copy. The proxy
+/// must not serve that copy.
 #[test]
 fn a_copy_from_before_a_purge_ends_the_attempt_with_an_error() {
-    for (made_ms, outcome) in [
-        (NOW / 1000 - 100, Outcome::Error),
-        (NOW / 1000, Outcome::Ok),
+    for (created_at_ms, outcome) in [
+        (START_US / 1000 - 100, Outcome::Error),
+        (START_US / 1000, Outcome::Ok),
     ] {
         let mut fixture = Fixture::connected();
-        fixture.purge_object("01-object", NOW - 2_000);
+        fixture.purge_object("01-object", START_US - 2_000);
         let attempt = fixture.send("01");
         assert_eq!(
-            fixture.receive_copy("01", made_ms),
-            [End::new(attempt, outcome)]
+            fixture.receive_copy("01", created_at_ms),
+            [AttemptEnd::new(attempt, outcome)]
         );
     }
 }
 
+/// The creation time of a copy comes from the server and may be any number. Arithmetic on it must
+/// not overflow.
 #[test]
-fn an_absurd_time_of_a_copy_is_taken_for_what_it_says_and_breaks_nothing() {
-    for made_ms in [u64::MAX, u64::MAX / 1000, 0] {
+fn an_implausible_creation_time_of_a_copy_is_accepted_without_overflow() {
+    for created_at_ms in [u64::MAX, u64::MAX / 1000, 0] {
         let mut fixture = Fixture::connected();
-        fixture.purge_object("01-object", NOW - 2_000);
+        fixture.purge_object("01-object", START_US - 2_000);
         let attempt = fixture.send("01");
-        let outcome = if made_ms == 0 {
+        let outcome = if created_at_ms == 0 {
             Outcome::Error
         } else {
             Outcome::Ok
         };
         assert_eq!(
-            fixture.receive_copy("01", made_ms),
-            [End::new(attempt, outcome)],
-            "{made_ms}"
+            fixture.receive_copy("01", created_at_ms),
+            [AttemptEnd::new(attempt, outcome)],
+            "copy created at {created_at_ms} ms"
         );
     }
 }
 
+/// The id of an answered attempt stays remembered on the connection. This must not block the answer
+/// to a further attempt under the same id.
 #[test]
 fn after_an_old_copy_a_further_attempt_on_the_connection_can_be_served() {
     let mut fixture = Fixture::connected();
-    fixture.purge_object("01-object", NOW - 2_000);
+    fixture.purge_object("01-object", START_US - 2_000);
     fixture.send("01");
-    fixture.receive_copy("01", NOW / 1000 - 100);
+    fixture.receive_copy("01", START_US / 1000 - 100);
     let attempt = fixture.send("01");
     assert_eq!(
-        fixture.receive_copy("01", NOW / 1000),
-        [End::new(attempt, Outcome::Ok)]
+        fixture.receive_copy("01", START_US / 1000),
+        [AttemptEnd::new(attempt, Outcome::Ok)]
     );
 }
 
+/// The first outdated copy after a cancellation may be the answer to the cancelled attempt. It must
+/// not end the further attempt, whose own answer may still follow.
 #[test]
 fn an_old_copy_after_a_cancellation_leaves_the_further_attempt_open() {
     let mut fixture = Fixture::connected();
-    fixture.purge_object("01-object", NOW - 2_000);
+    fixture.purge_object("01-object", START_US - 2_000);
     let cancelled = fixture.send("01");
     fixture.cancel_and_settle(cancelled);
-    fixture.take_ends();
+    fixture.take_attempt_ends();
     let attempt = fixture.send("01");
-    // It may be the answer to the cancelled attempt.
-    assert_eq!(fixture.receive_copy("01", NOW / 1000 - 100), []);
+    // The old copy may be the answer to the cancelled attempt.
+    assert_eq!(fixture.receive_copy("01", START_US / 1000 - 100), []);
     assert_eq!(
-        fixture.receive_copy("01", NOW / 1000),
-        [End::new(attempt, Outcome::Ok)]
+        fixture.receive_copy("01", START_US / 1000),
+        [AttemptEnd::new(attempt, Outcome::Ok)]
     );
 }
 
+/// The other end may have vanished without closing the connection. Further attempts on such a
+/// connection would time out one after the other.
 #[test]
 fn an_unresponsive_connection_takes_no_further_attempts() {
     let mut fixture = Fixture::connected();
     let attempt = fixture.send("01");
     assert_eq!(fixture.load_if_available("02"), Some(1));
-    // The server was last heard before the attempt: a short silence is a pause, a long one may be
-    // the end.
+    // Nothing has arrived from the server since before the attempt. A short silence is a pause. A
+    // long one may mean that the server no longer reaches the proxy.
     let longest_pause_us = fixture.limits.unresponsive_after_us;
     for (silence_us, load) in [(longest_pause_us, Some(0)), (longest_pause_us + 1, None)] {
-        let begun_at = NOW - silence_us;
+        let begun_at = START_US - silence_us;
         fixture.connection = UpstreamConnection::new(fixture.server, &fixture.limits, begun_at);
         fixture.connection.enqueue(attempt);
         fixture.flush();
@@ -209,47 +238,66 @@
     }
 }
 
+/// Answers are matched to attempts by request id alone. Two attempts with the same id on one
+/// connection, even while both are queued, could get each other's answers.
 #[test]
 fn requests_with_one_id_never_share_a_connection() {
     for mut fixture in [Fixture::connected(), Fixture::connecting()] {
         fixture.send("01");
         let connected = fixture.socket.connected;
-        assert_eq!(fixture.load_if_available("01"), None, "{connected}");
-        assert_eq!(fixture.load_if_available("02"), Some(1), "{connected}");
+        assert_eq!(
+            fixture.load_if_available("01"),
+            None,
+            "a second request with the same id was accepted, connected: {connected}"
+        );
+        assert_eq!(
+            fixture.load_if_available("02"),
+            Some(1),
+            "connected: {connected}"
+        );
     }
 }
 
+/// After an answer stops half-way, the connection cannot be written to any longer: the bytes of the
+/// next answer would count as the rest of the unfinished one.
 #[test]
-fn a_connection_is_unusable_once_an_answer_has_stopped_part_way() {
+fn a_connection_is_not_written_after_an_answer_stopped_half_way() {
     let mut fixture = Fixture::connected();
     fixture.send("01");
     fixture.send("02");
     fixture.receive(PARTIAL_ANSWER);
-    let deadline = NOW + fixture.limits.partial_answer_timeout_us;
+    let deadline = START_US + fixture.limits.partial_answer_timeout_us;
     assert_eq!(
         fixture.connection.partial_answer_deadline(&fixture.limits),
         Some(deadline)
     );
     fixture.now = deadline - 1;
-    assert!(fixture.flush(), "the rest may still come");
+    assert!(
+        fixture.flush(),
+        "the connection was given up before the timeout of the partial answer"
+    );
     fixture.now = deadline;
     assert!(
         !fixture.flush(),
-        "what comes now would be taken for the rest"
+        "the next input would count as the rest of the partial answer"
     );
 }
 
+/// After an answer stops half-way, input must not be read any longer: it would count as the rest of
+/// the unfinished answer.
 #[test]
-fn a_connection_is_unreadable_once_an_answer_has_stopped_part_way() {
+fn a_connection_is_not_read_after_an_answer_stopped_half_way() {
     let mut fixture = Fixture::connected();
     fixture.send("01");
     fixture.receive(PARTIAL_ANSWER);
-    let deadline = NOW + fixture.limits.partial_answer_timeout_us;
+    let deadline = START_US + fixture.limits.partial_answer_timeout_us;
     let connection = &fixture.connection;
     assert!(connection.is_readable(deadline - 1, &fixture.limits));
     assert!(!connection.is_readable(deadline, &fixture.limits));
 }
 
+/// All commands before a partial answer were written, so none of their attempts may be reported as
+/// never sent when the connection closes.
 #[test]
 fn attempts_on_a_connection_with_a_partial_answer_may_have_run() {
     let mut fixture = Fixture::connected();
@@ -259,16 +307,18 @@
     fixture.now += fixture.limits.partial_answer_timeout_us;
     assert!(!fixture.flush());
     let expected = [
-        End::new(first, Outcome::Reset),
-        End::new(second, Outcome::Reset),
+        AttemptEnd::new(first, Outcome::Reset),
+        AttemptEnd::new(second, Outcome::Reset),
     ];
     assert_eq!(fixture.close(true), expected);
 }
 
+/// When a server drains, attempts may wait in the queue or in the output buffer. Those of which no
+/// byte is written must not reach the server any more, and no attempt may be lost.
 #[test]
 fn a_drain_stops_every_attempt_of_which_no_byte_is_written() {
     let mut fixture = Fixture::connected();
-    // The server reads nothing: what the sockets between take is all that has begun.
+    // The server reads nothing, so only attempts that fit into the socket buffers are written.
     let body = vec![b'.'; 3000];
     let mut sent = 0;
     while fixture.socket.output.is_empty() {
@@ -281,7 +331,7 @@
     }
     let written_before_drain = usize::try_from(fixture.socket.bytes_written).unwrap();
     assert!(fixture.drain_server());
-    let stopped = fixture.take_ends().len();
+    let stopped = fixture.take_attempt_ends().len();
 
     let mut received = Vec::new();
     let mut bytes = [0; 65536];
@@ -296,34 +346,50 @@
         let windows = bytes.windows(command.len());
         windows.filter(|window| window == command).count()
     };
-    assert_eq!(count_commands(&received) + stopped, sent);
-    assert_eq!(count_commands(&received[written_before_drain..]), 0);
+    assert_eq!(
+        count_commands(&received) + stopped,
+        sent,
+        "an attempt was neither received by the server nor stopped, or both"
+    );
+    assert_eq!(
+        count_commands(&received[written_before_drain..]),
+        0,
+        "an attempt was started after the drain"
+    );
 }
 
+/// A retried write is safe only within the deduplication window of the settings. A retry that was
+/// queued in time may become writable too late, when its connection is established at last.
 #[test]
 fn a_retry_that_waited_for_its_connection_does_not_begin_after_its_window() {
-    // The window of the settings is 3 s, and the client waits for longer.
-    for (waited_us, begins) in [(2_900_000, true), (3_000_000, false)] {
+    // The retry window of the settings is 3 s, and the client waits for longer than that.
+    for (waited_us, is_sent) in [(2_900_000, true), (3_000_000, false)] {
         let mut fixture = Fixture::new("hub", "origin", true);
         let first = fixture.send_request(post_request("01"));
         fixture
             .request_table
-            .attempt_ended(NOW, first, Outcome::Reset.into());
-        fixture.connection = UpstreamConnection::new(fixture.server, &fixture.limits, NOW);
+            .attempt_ended(START_US, first, Outcome::Reset.into());
+        fixture.connection = UpstreamConnection::new(fixture.server, &fixture.limits, START_US);
         fixture.socket.connected = false;
         let retry = fixture.enqueue_next();
         fixture.now += waited_us;
         fixture.socket.connected = true;
         fixture.flush();
-        let not_sent = End::new(retry, Outcome::NotSent);
-        let expected = if begins { vec![] } else { vec![not_sent] };
-        assert_eq!(fixture.take_ends(), expected, "{waited_us}");
+        let not_sent = AttemptEnd::new(retry, Outcome::NotSent);
+        let expected = if is_sent { vec![] } else { vec![not_sent] };
+        assert_eq!(
+            fixture.take_attempt_ends(),
+            expected,
+            "retry waited {waited_us} us"
+        );
     }
 }
 
+/// A purge may arrive while an attempt waits in the queue. The command must carry the age limit as
+/// of when it is written, or the server may answer with a purged copy.
 #[test]
 fn a_purge_bounds_the_accepted_age_of_a_queued_attempt_that_it_concerns() {
-    for (object, group, bounded) in [
+    for (object, group, has_age_limit) in [
         (Some("01-object"), 0, true),
         (None, 7, true),
         (Some("02-object"), 0, false),
@@ -336,7 +402,8 @@
         });
         fixture.now += 400_000;
         let purged_at = fixture.now - 30_000;
-        // A purge of another object that is heard of as it is made: the clock is not behind the stamps.
+        // A purge of another object that arrives at its own time shows that the clock is not
+        // behind the timestamps of purges.
         fixture
             .request_table
             .purged(fixture.now, Some("other".to_owned()), 0, fixture.now);
@@ -348,26 +415,28 @@
         let text = fixture.received_by_server("fetch", 1);
         assert_eq!(
             text.contains("maxage=30"),
-            bounded,
-            "{object:?} {group}: {text}"
+            has_age_limit,
+            "purge of object {object:?}, group {group}: {text}"
         );
     }
 }
 
+/// An attempt in the output buffer of which no byte is written can still be removed. Otherwise the
+/// cancelled command would be sent after all, followed by its abort.
 #[test]
 fn an_attempt_of_which_no_byte_is_written_is_cancelled_at_once() {
     let mut fixture = Fixture::connected();
     let unwritten = send_until_unwritten(&mut fixture);
     assert!(fixture.cancel(unwritten));
     assert_eq!(
-        fixture.take_ends(),
-        [End::new(unwritten, Outcome::Cancelled)]
+        fixture.take_attempt_ends(),
+        [AttemptEnd::new(unwritten, Outcome::Cancelled)]
     );
     assert!(fixture.socket.output.is_empty());
 }
 
-/// Sends attempts to a server that hardly reads, until one lies in the output buffer with no byte
-/// written.
+/// Sends attempts to a server that reads slowly, until one is in the output buffer with no byte
+/// written, and returns it.
 fn send_until_unwritten(fixture: &mut Fixture) -> AttemptId {
     for number in 0.. {
         let written_before = fixture.socket.bytes_written;
@@ -376,12 +445,13 @@
         if is_unwritten && !fixture.socket.output.is_empty() {
             return attempt;
         }
-        // An attempt that has begun goes on until the output buffer is empty again.
+        // A partially written attempt has to be written completely before the next one can be
+        // buffered.
         while !fixture.socket.output.is_empty() {
             let length = fixture.server_socket.read(&mut [0; 64]).unwrap();
-            assert!(length > 0);
+            assert!(length > 0, "the connection was closed");
             assert!(fixture.flush());
         }
     }
-    unreachable!("the buffers between the sockets are bounded")
+    unreachable!("the socket buffers are has_age_limit, so an attempt must stay unwritten")
 }
