--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -1,20 +1,23 @@
-//! Configuration: what is read, the defaults, and errors that name the key at fault.
+//! Configuration: what is read, the defaults, and errors that name the faulty key.
 
 use edge_proxy::config::{Config, ConfigError};
 use edge_testkit::sample_settings;
 use serde_json::{json, Value};
 
-fn good() -> Value {
+/// Returns a minimal valid configuration.
+fn minimal_config() -> Value {
     json!({"listen": "127.0.0.1:0", "settings": sample_settings()})
 }
 
-fn read(value: &Value) -> Result<Config, ConfigError> {
+fn read_config(value: &Value) -> Result<Config, ConfigError> {
     Config::from_json(value)
 }
 
+/// A configuration with only the required keys must start a proxy without an event bus, Consul,
+/// gossip or an interconnect.
 #[test]
 fn absent_keys_have_defaults() {
-    let config = read(&good()).unwrap();
+    let config = read_config(&minimal_config()).unwrap();
     assert_eq!(
         (
             config.event_bus,
@@ -26,10 +29,13 @@
     assert!(
         config.interconnect.is_none() && config.consul.is_none() && config.purge_gossip.is_none()
     );
-    // 50 ms later than the settings say: cache servers complete a purge later on real sockets.
+    // The settings say 6 s. The proxy adds 50 ms, because cache servers complete a purge later over
+    // real sockets.
     assert_eq!(config.settings.rules.purge_completion_us, 6_050_000);
 }
 
+/// Without the key in the message, an operator could not find the faulty line in a long
+/// configuration file.
 #[test]
 fn errors_name_the_faulty_key() {
     for (key, value) in [
@@ -45,18 +51,20 @@
         ),
         ("limits", json!({"sockets": 0})),
     ] {
-        let mut config = good();
+        let mut config = minimal_config();
         config[key] = value.clone();
-        let message = read(&config).unwrap_err().to_string();
+        let message = read_config(&config).unwrap_err().to_string();
         let inner = value.as_object().and_then(|o| o.keys().next());
         let named = message.contains(key) || inner.is_some_and(|k| message.contains(k));
         assert!(named, "{key} = {value}: {message}");
     }
 }
 
+/// The shipped interconnect file has no address, and must not open a listener. Once one is
+/// configured, an incomplete or invalid key must be reported by its name.
 #[test]
 fn the_interconnect_is_off_until_it_has_an_address_to_listen_on() {
-    let mut config = read(&good()).unwrap();
+    let mut config = read_config(&minimal_config()).unwrap();
     let shipped: Value =
         serde_json::from_str(include_str!("../../../deploy/interconnect.json")).unwrap();
     config.apply_interconnect(&shipped).unwrap();
@@ -78,10 +86,12 @@
     }
 }
 
+/// The example files are not used by any other test. They must stay valid when the format of the
+/// configuration changes.
 #[test]
 fn the_example_files_are_valid() {
     let text = include_str!("../../../examples/config.json");
-    let mut config = read(&serde_json::from_str(text).unwrap()).unwrap();
+    let mut config = read_config(&serde_json::from_str(text).unwrap()).unwrap();
     let text = include_str!("../../../examples/interconnect.json");
     config
         .apply_interconnect(&serde_json::from_str(text).unwrap())
@@ -89,22 +99,28 @@
     assert!(config.interconnect.is_some());
 }
 
+/// A running proxy must report changed keys that it can apply only after a restart. Keys that a
+/// reload applies, or that matter only at the start, must not be reported.
 #[test]
 fn changes_that_need_a_restart_are_named_by_key() {
-    let old = read(&good()).unwrap();
-    let mut new = good();
-    (new["bus"], new["seed"], new["known"]) =
+    let running = read_config(&minimal_config()).unwrap();
+    let mut changed = minimal_config();
+    (changed["bus"], changed["seed"], changed["known"]) =
         (json!("127.0.0.1:1"), json!("7"), json!({"offset": 3}));
-    assert!(old.fixed_changes(&read(&new).unwrap()).is_empty());
-    (new["listen"], new["limits"], new["name"]) =
+    assert!(running
+        .fixed_changes(&read_config(&changed).unwrap())
+        .is_empty());
+    (changed["listen"], changed["limits"], changed["name"]) =
         (json!("127.0.0.1:9"), json!({"sockets": 99}), json!("n"));
-    new["settings"]["limits"]["try-limit"] = json!(2);
+    changed["settings"]["limits"]["try-limit"] = json!(2);
     assert_eq!(
-        old.fixed_changes(&read(&new).unwrap()),
+        running.fixed_changes(&read_config(&changed).unwrap()),
         ["name", "listen", "limits", "settings"]
     );
 }
 
+/// The name of a nested key alone is ambiguous, so the message must contain its whole path, with
+/// the index of a list item.
 #[test]
 fn errors_name_the_path_of_a_nested_key() {
     for (key, value, expected) in [
@@ -119,9 +135,9 @@
             "known: event 1",
         ),
     ] {
-        let mut config = good();
+        let mut config = minimal_config();
         config[key] = value;
-        let message = read(&config).unwrap_err().to_string();
+        let message = read_config(&config).unwrap_err().to_string();
         assert!(message.contains(expected), "{message}");
     }
 }
--- a/crates/proxy/tests/consul_discovery.rs
+++ b/crates/proxy/tests/consul_discovery.rs
@@ -1,4 +1,4 @@
-//! Consul as the source of the server list.
+//! A proxy that gets its endpoint list from Consul.
 
 use edge_testkit::fake_consul::{ConsulInstance, FakeConsul};
 use edge_testkit::proxy_fixture::{fetch_object, ProxyFixture};
@@ -7,8 +7,10 @@
 
 const PASSING: &str = "passing";
 const CRITICAL: &str = "critical";
-const FETCHES: u64 = 10;
+const FETCHES_PER_PHASE: u64 = 10;
 
+/// A cache server whose check is critical, or that is no longer registered in Consul, must get no
+/// more commands, and one that recovers must get some again.
 #[test]
 fn server_list_follows_the_health_checks_of_consul() {
     let consul = FakeConsul::start().unwrap();
@@ -21,7 +23,7 @@
         })
         .start();
     let [first, second] = &proxy.caches[..] else {
-        panic!("two caches")
+        panic!("the fixture did not start two cache servers")
     };
     let mut client = proxy.connect();
     let mut fetch = |number: u64| fetch_object(&mut client, READ_CLASS, &object_key(number)).status;
@@ -31,23 +33,27 @@
         ConsulInstance::for_cache(second, CRITICAL),
     ]);
     while fetch(1) != 200 {}
-    for number in 0..FETCHES {
+    for number in 0..FETCHES_PER_PHASE {
         assert_eq!(fetch(number), 200);
     }
-    assert_eq!(second.received(), [], "its check is critical");
+    assert_eq!(
+        second.received(),
+        [],
+        "a cache server with a critical check was sent a command"
+    );
 
     consul.register(&[ConsulInstance::for_cache(second, PASSING)]);
     while second.received().is_empty() {
         fetch(1);
     }
     let commands_before = first.received().len();
-    for number in 0..FETCHES {
+    for number in 0..FETCHES_PER_PHASE {
         assert_eq!(fetch(number), 200);
     }
     assert_eq!(
         first.received().len(),
         commands_before,
-        "it is no longer registered"
+        "a cache server that is no longer registered was sent a command"
     );
     proxy.shut_down();
 }
--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -1,4 +1,4 @@
-//! The event bus: events as JSON, and the stream that carries them.
+//! Messages of the event bus: events in JSON, and the event stream that carries them.
 
 use edge_proxy::discovery::event_bus::{
     read_event, request, DiscoveryEvent, EventBusMessage, EventStreamClient,
@@ -7,16 +7,20 @@
 use edge_routing::{EndpointListMode, EndpointState};
 use serde_json::{json, Value};
 
+/// Returns a complete endpoint list entry.
 fn entry(uid: &str) -> Value {
     json!({"uid": uid, "endpoint": "10.1.0.9:6565", "az": "east", "model": "std", "pod_group": 2,
         "state": "ready", "capacity_hint": 4, "boot_ms": 0})
 }
 
+/// Reads an event with changes to the endpoint list.
 fn endpoint_list(entries: &[Value]) -> EventBusMessage {
     read_event(&json!({"offset": 41, "topology": {"rev": 7, "all": false, "targets": entries}}))
         .unwrap()
 }
 
+/// If one unreadable entry invalidated its whole event, drains of other servers in that event would
+/// be lost.
 #[test]
 fn an_entry_that_cannot_be_read_is_skipped_and_the_others_are_kept() {
     let mut draining = entry("s-2");
@@ -48,24 +52,51 @@
     );
 }
 
+/// Entries may leave out optional fields, and a start time is in milliseconds on the wire and in
+/// microseconds here. A start time of 0 means that it is unknown.
 #[test]
 fn the_fields_of_an_entry_have_defaults_and_units() {
-    let late =
+    let without_optional_fields =
         json!({"uid": "s-1", "endpoint": "10.1.0.9:6565", "state": "ready", "boot_ms": 12.0});
-    let message = endpoint_list(&[entry("s-0"), late]);
+    let message = endpoint_list(&[entry("s-0"), without_optional_fields]);
     let Some(DiscoveryEvent::List(_, servers)) = message.event else {
         panic!("not a list: {message:?}");
     };
-    let (full, bare) = (&servers[0].endpoint, &servers[1].endpoint);
-    assert_eq!((full.zone.as_str(), full.kind.as_str()), ("east", "std"));
-    assert_eq!((full.cell, full.weight, full.started_at), (2, 4.0, None));
-    assert_eq!((bare.zone.as_str(), bare.kind.as_str()), ("", ""));
+    let (complete_endpoint, minimal_endpoint) = (&servers[0].endpoint, &servers[1].endpoint);
     assert_eq!(
-        (bare.cell, bare.weight, bare.started_at),
+        (
+            complete_endpoint.zone.as_str(),
+            complete_endpoint.kind.as_str()
+        ),
+        ("east", "std")
+    );
+    assert_eq!(
+        (
+            complete_endpoint.cell,
+            complete_endpoint.weight,
+            complete_endpoint.started_at
+        ),
+        (2, 4.0, None)
+    );
+    assert_eq!(
+        (
+            minimal_endpoint.zone.as_str(),
+            minimal_endpoint.kind.as_str()
+        ),
+        ("", "")
+    );
+    assert_eq!(
+        (
+            minimal_endpoint.cell,
+            minimal_endpoint.weight,
+            minimal_endpoint.started_at
+        ),
         (0, 1.0, Some(12_000))
     );
 }
 
+/// A purge that names neither an object nor a group must be an error that names the faulty key,
+/// rather than be ignored without a trace.
 #[test]
 fn purges_name_an_object_or_a_group() {
     let purge = |ban: Value| read_event(&json!({"offset": 42, "ban": ban}));
@@ -99,8 +130,10 @@
     }
 }
 
+/// A kind of event that this version does not know must not end the stream. Its number must count,
+/// or it would be requested again for ever.
 #[test]
-fn an_event_of_an_unknown_kind_has_a_number_only() {
+fn an_event_of_an_unknown_kind_is_read_as_its_number_alone() {
     let message = read_event(&json!({"offset": 43, "later": {}})).unwrap();
     assert_eq!((message.offset, message.event), (43, None));
     assert!(read_event(&json!({"later": {}}))
@@ -109,11 +142,13 @@
         .contains("offset"));
 }
 
+/// After a reconnect, the stream may repeat events. Each event must be handled once, and comments
+/// and events without a number must be skipped.
 #[test]
-fn a_stream_gives_each_event_once_and_skips_what_is_not_an_event() {
-    let head = String::from_utf8(request("bus:8500", 41)).unwrap();
-    assert!(head.contains("\r\nLast-Event-ID: 41\r\n"));
-    assert!(head.contains("\r\nCache-Control: no-cache\r\n"));
+fn a_stream_yields_each_event_once_and_skips_all_else() {
+    let request_text = String::from_utf8(request("bus:8500", 41)).unwrap();
+    assert!(request_text.contains("\r\nLast-Event-ID: 41\r\n"));
+    assert!(request_text.contains("\r\nCache-Control: no-cache\r\n"));
 
     let mut client = EventStreamClient::new(&Limits::for_machine(1024, 192), 3);
     let mut last_offset = 41;
--- a/crates/proxy/tests/purge_gossip.rs
+++ b/crates/proxy/tests/purge_gossip.rs
@@ -1,9 +1,11 @@
-//! Purge gossip: the text of a datagram.
+//! Purge gossip between proxies: encoding and decoding of datagrams.
 
 use edge_proxy::discovery::purge_gossip::{decode, encode, Purge};
 
+/// A purge must arrive at other proxies as it was sent. One that is too long for a datagram is not
+/// sent, and a malformed datagram must not count as a purge.
 #[test]
-fn datagrams_decode_to_what_was_encoded_and_stay_short() {
+fn datagrams_decode_to_what_was_encoded_and_are_bounded_in_length() {
     let object = Purge {
         object: Some("0a".into()),
         group: 0,
@@ -28,7 +30,7 @@
         purged_at: 1,
     };
     assert_eq!(encode(&too_long), None);
-    for bad in [
+    for malformed in [
         "",
         "purge",
         "purge group x 1",
@@ -36,6 +38,10 @@
         "purge object a -1",
         "hello a b 1",
     ] {
-        assert_eq!(decode(bad.as_bytes()), None, "{bad}");
+        assert_eq!(
+            decode(malformed.as_bytes()),
+            None,
+            "malformed datagram {malformed:?} was accepted"
+        );
     }
 }
--- a/crates/proxy/tests/purge_log.rs
+++ b/crates/proxy/tests/purge_log.rs
@@ -1,4 +1,5 @@
-//! The purge log: what a proxy that starts again reads back, and the files of earlier versions.
+//! The purge log: what a restarted proxy reads back, and how it reads files of earlier
+//! versions.
 
 use edge_proxy::discovery::purge_gossip::Purge;
 use edge_proxy::discovery::purge_log::{PurgeLog, REWRITE_SLACK_LINES};
@@ -6,13 +7,14 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// A path for a test's own file, without a file.
+/// Returns a path for a file of a single test. No file exists at it.
 fn fresh_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("edge-proxy-{name}-{}", std::process::id()));
     let _ = fs::remove_file(&path);
     path
 }
 
+/// Returns a purge of an object at a Unix time in microseconds.
 fn object(object: &str, purged_at: u64) -> Purge {
     Purge {
         object: Some(object.into()),
@@ -21,6 +23,7 @@
     }
 }
 
+/// Returns a purge of a purge group at a Unix time in microseconds.
 fn group(group: u64, purged_at: u64) -> Purge {
     Purge {
         object: None,
@@ -29,12 +32,14 @@
     }
 }
 
+/// A crash may truncate the last line, which must not spoil the others or lines added later.
+/// Repeated purges of the same targets must not make the file grow without bound.
 #[test]
 fn added_purges_are_read_back_after_a_crash_and_the_file_stays_short() {
     let path = fresh_path("purge-log");
     let mut purge_log = PurgeLog::open(&path).unwrap();
-    for at in 1..=5000 {
-        purge_log.add(&object("0a", at)).unwrap();
+    for purged_at in 1..=5000 {
+        purge_log.add(&object("0a", purged_at)).unwrap();
         purge_log.add(&group(7, 3)).unwrap();
     }
     purge_log.add(&object("0a", 4)).unwrap();
@@ -49,7 +54,7 @@
     assert_eq!(
         reopened.purges(),
         [group(7, 3), object("0a", 5000)],
-        "a line cut off is no purge"
+        "the purges read back differ, or the truncated line counts as a purge"
     );
     reopened.add(&object("0b", 9)).unwrap();
     assert_eq!(PurgeLog::open(&path).unwrap().purges().len(), 3);
@@ -57,6 +62,8 @@
     assert!(PurgeLog::open(&path.join("below")).is_err());
 }
 
+/// A proxy must read the file that an earlier version wrote, and an earlier version must be able to
+/// read the rewritten file. Otherwise purges are lost on an upgrade or a rollback.
 #[test]
 fn a_file_of_the_earlier_version_is_read_and_rewritten_in_its_format() {
     let path = fresh_path("purge-log-v0");
@@ -69,7 +76,7 @@
             object("/o/kd6b5sum7ecwe", 1_764_576_001_000_000),
             object("00000000000000a1", 1_764_576_004_000_000),
         ],
-        "the last purge of each, without the line cut off"
+        "expected the last purge of each target, without the truncated line"
     );
     purge_log
         .add(&object("00000000000000b2", 1_764_576_005_000_000))
--- a/crates/proxy/tests/purge_log_faults.rs
+++ b/crates/proxy/tests/purge_log_faults.rs
@@ -1,4 +1,5 @@
-//! The purge log on a disk that fails for a while, and across a kill in the middle of a write.
+//! The purge log on a disk that fails temporarily, and with a partially written line, as a kill in
+//! the middle of a write leaves it.
 #![cfg(feature = "fault-injection")]
 
 use edge_proxy::discovery::purge_gossip::Purge;
@@ -9,13 +10,14 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// A path for a test's own file, without a file.
+/// Returns a path for a file of a single test. No file exists at it.
 fn fresh_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("edge-proxy-{name}-{}", std::process::id()));
     let _ = fs::remove_file(&path);
     path
 }
 
+/// Returns a purge of an object, both derived from a number.
 fn purge(number: u64) -> Purge {
     Purge {
         object: Some(format!("{number:016x}")),
@@ -24,13 +26,15 @@
     }
 }
 
-/// Faults of the calling thread.
+/// Installs a fault injector for the system calls of the calling thread.
 fn install_faults() -> FaultInjector {
     let injector = FaultInjector::new(FaultPlan::default());
     injector.install();
     injector
 }
 
+/// A full disk or a device error may prevent the write of a purge. After the disk recovers, a purge
+/// missing from the log would be forgotten at the next restart.
 #[test]
 fn a_purge_that_could_not_be_written_is_written_with_the_next_one() {
     let steps = [
@@ -45,7 +49,10 @@
         purge_log.add(&purge(1)).unwrap();
         injector.add(Fault::next(1, call, effect));
 
-        assert!(purge_log.add(&purge(2)).is_err(), "it is not kept yet");
+        assert!(
+            purge_log.add(&purge(2)).is_err(),
+            "{call:?}: a failed write was reported as a success"
+        );
         purge_log.add(&purge(3)).unwrap();
 
         let reopened = PurgeLog::open(&path).unwrap();
@@ -58,8 +65,10 @@
     }
 }
 
+/// A write may end in the middle of a line. If the next purge were appended to the truncated line,
+/// neither of the two could be read.
 #[test]
-fn a_line_that_is_cut_off_by_an_error_spoils_no_other() {
+fn a_line_truncated_by_an_error_corrupts_no_other_line() {
     let path = fresh_path("purge-log-torn");
     let injector = install_faults();
     let mut purge_log = PurgeLog::open(&path).unwrap();
@@ -67,7 +76,11 @@
     injector.add(Fault::next(1, SystemCall::FileWrite, Effect::Error(ENOSPC)));
 
     assert!(purge_log.add(&purge(1)).is_err());
-    assert_eq!(fs::read(&path).unwrap().len(), 9, "half a line is there");
+    assert_eq!(
+        fs::read(&path).unwrap().len(),
+        9,
+        "the file does not hold exactly the 9 bytes of the truncated line"
+    );
     for number in 2..=4 {
         purge_log.add(&purge(number)).unwrap();
     }
@@ -77,8 +90,10 @@
     fs::remove_file(&path).unwrap();
 }
 
+/// The log is rewritten at the start and after errors. If a rewrite that fails half-way replaced
+/// the file, all purges in it would be lost.
 #[test]
-fn a_log_that_can_not_be_rewritten_stays_as_it_is_until_it_can() {
+fn a_log_that_cannot_be_rewritten_stays_unchanged_until_it_can() {
     for call in [
         SystemCall::FileCreate,
         SystemCall::FileWrite,
--- a/crates/proxy/tests/reference_time.rs
+++ b/crates/proxy/tests/reference_time.rs
@@ -1,85 +1,114 @@
-//! What stamps tell of the fleet's time, whatever the wall clock said at the start.
+//! Estimation of the fleet's time from the timestamps of events and copies, with a wall clock that
+//! may have been wrong at the start.
 
 use edge_proxy::discovery::reference_time::ReferenceTime;
 use proptest::prelude::*;
 
-const HOUR_US: u64 = 3_600_000_000;
-/// The fleet's time at the start of each test.
-const FLEET_US: u64 = 1_764_576_000_000_000;
+const ONE_HOUR_US: u64 = 3_600_000_000;
+/// The fleet's time at the start of each test, in microseconds of Unix time.
+const FLEET_START_US: u64 = 1_764_576_000_000_000;
 
+/// Before the first timestamp there is no other source of time than the wall clock.
 #[test]
-fn without_a_stamp_the_clock_counts() {
-    assert_eq!(ReferenceTime::default().to_local(FLEET_US), FLEET_US);
+fn without_a_timestamp_the_wall_clock_is_used() {
+    assert_eq!(
+        ReferenceTime::default().to_local(FLEET_START_US),
+        FLEET_START_US
+    );
 }
 
+/// The wall clock may be wrong by an hour at the start. The newest timestamp is then the best known
+/// lower bound of the fleet's time, and older ones must keep their distance to it.
 #[test]
-fn the_newest_stamp_of_the_start_is_taken_for_the_present() {
-    for clock_us in [FLEET_US - HOUR_US, FLEET_US, FLEET_US + HOUR_US] {
+fn the_newest_timestamp_of_the_start_counts_as_the_present() {
+    for clock_us in [
+        FLEET_START_US - ONE_HOUR_US,
+        FLEET_START_US,
+        FLEET_START_US + ONE_HOUR_US,
+    ] {
         let mut time = ReferenceTime::default();
         for age_us in [9_000_000, 2_000_000, 5_000_000] {
-            time.event_arrived(clock_us, FLEET_US - age_us);
+            time.event_arrived(clock_us, FLEET_START_US - age_us);
         }
-        assert_eq!(time.to_local(FLEET_US - 2_000_000), clock_us);
-        assert_eq!(time.to_local(FLEET_US - 5_000_000), clock_us - 3_000_000);
+        assert_eq!(time.to_local(FLEET_START_US - 2_000_000), clock_us);
+        assert_eq!(
+            time.to_local(FLEET_START_US - 5_000_000),
+            clock_us - 3_000_000
+        );
     }
 }
 
+/// Times that were converted before a fresher timestamp arrived are too high. The reported
+/// difference corrects them, and an old copy must not move the estimate back.
 #[test]
-fn a_fresh_copy_tells_the_time_and_by_how_much_earlier_times_move() {
+fn a_fresh_copy_moves_the_estimate_and_reports_by_how_much() {
     let mut time = ReferenceTime::default();
-    let clock_us = FLEET_US + HOUR_US;
-    assert_eq!(time.event_arrived(clock_us, FLEET_US - 2_000_000), 0);
-    assert_eq!(time.to_local(FLEET_US - 2_000_000), clock_us);
+    let clock_us = FLEET_START_US + ONE_HOUR_US;
+    assert_eq!(time.event_arrived(clock_us, FLEET_START_US - 2_000_000), 0);
+    assert_eq!(time.to_local(FLEET_START_US - 2_000_000), clock_us);
 
-    let moved_us = time.copy_arrived(clock_us, FLEET_US - 15_000);
+    let moved_us = time.copy_arrived(clock_us, FLEET_START_US - 15_000);
 
     assert_eq!(moved_us, 1_985_000);
-    assert_eq!(time.to_local(FLEET_US - 2_000_000), clock_us - moved_us);
     assert_eq!(
-        time.copy_arrived(clock_us, FLEET_US - HOUR_US),
+        time.to_local(FLEET_START_US - 2_000_000),
+        clock_us - moved_us
+    );
+    assert_eq!(
+        time.copy_arrived(clock_us, FLEET_START_US - ONE_HOUR_US),
         0,
-        "an old copy"
+        "an old copy moved the estimate of the fleet's time"
     );
 }
 
+/// A copy may carry a wrong timestamp from the future. The estimate moves only when a second copy
+/// agrees, and timestamps that are implausibly far ahead never count.
 #[test]
-fn a_copy_that_says_that_the_clock_is_late_has_to_be_confirmed() {
+fn a_copy_from_ahead_of_the_clock_counts_only_if_another_copy_confirms_it() {
     let mut time = ReferenceTime::default();
-    let clock_us = FLEET_US - HOUR_US;
+    let clock_us = FLEET_START_US - ONE_HOUR_US;
     time.event_arrived(clock_us, clock_us);
-    assert_eq!(time.copy_arrived(clock_us, FLEET_US), 0);
+    assert_eq!(time.copy_arrived(clock_us, FLEET_START_US), 0);
     assert_eq!(
-        time.copy_arrived(clock_us, FLEET_US - 100_000),
-        HOUR_US - 100_000
+        time.copy_arrived(clock_us, FLEET_START_US - 100_000),
+        ONE_HOUR_US - 100_000
     );
     for _ in 0..3 {
-        assert_eq!(time.copy_arrived(clock_us, u64::MAX), 0, "an absurd stamp");
-        assert_eq!(time.copy_arrived(clock_us, FLEET_US + 48 * HOUR_US), 0);
+        assert_eq!(
+            time.copy_arrived(clock_us, u64::MAX),
+            0,
+            "an implausible timestamp moved the estimate of the fleet's time"
+        );
+        assert_eq!(
+            time.copy_arrived(clock_us, FLEET_START_US + 48 * ONE_HOUR_US),
+            0
+        );
     }
 }
 
 proptest! {
-    /// Whatever the clock says: no stamp that has arrived lies in the future, and none is taken for
-    /// older than it is.
+    /// A purge that counts as older than it is would let a copy from before it pass. With any error
+    /// of the clock, a timestamp that has arrived counts neither as in the future nor as older than
+    /// it is by more than 10 ms.
     #[test]
-    fn nothing_is_taken_for_older_than_it_is(
-        clock_us in FLEET_US - HOUR_US..FLEET_US + HOUR_US,
+    fn no_timestamp_counts_as_older_than_it_is(
+        clock_us in FLEET_START_US - ONE_HOUR_US..FLEET_START_US + ONE_HOUR_US,
         steps in prop::collection::vec((0..2_000_000_u64, 0..5_000_000_u64, any::<bool>()), 1..40),
     ) {
         let mut time = ReferenceTime::default();
         let mut elapsed_us = 0;
-        for (later_us, age_us, is_event) in steps {
-            elapsed_us += later_us;
-            let (now, fleet_us) = (clock_us + elapsed_us, FLEET_US + elapsed_us);
+        for (step_us, age_us, is_event) in steps {
+            elapsed_us += step_us;
+            let (now_us, fleet_us) = (clock_us + elapsed_us, FLEET_START_US + elapsed_us);
             let stamp_us = fleet_us - age_us;
             if is_event {
-                time.event_arrived(now, stamp_us);
+                time.event_arrived(now_us, stamp_us);
             } else {
-                time.copy_arrived(now, stamp_us);
+                time.copy_arrived(now_us, stamp_us);
             }
-            // Before the first stamp nothing is known.
-            if time.to_local(stamp_us) != stamp_us || clock_us <= FLEET_US {
-                prop_assert!(now.saturating_sub(time.to_local(stamp_us)) <= age_us + 10_000);
+            // Until a timestamp is accepted, the fleet's time is unknown.
+            if time.to_local(stamp_us) != stamp_us || clock_us <= FLEET_START_US {
+                prop_assert!(now_us.saturating_sub(time.to_local(stamp_us)) <= age_us + 10_000);
             }
         }
     }
--- a/crates/proxy/tests/scenario.rs
+++ b/crates/proxy/tests/scenario.rs
@@ -1,16 +1,18 @@
-//! The loopback scenario against the real program: it finds no violation, and finds the injected
-//! ones.
+//! The loopback scenario with the proxy's real program: it reports no violation by the proxy, and
+//! reports every violation that is injected.
 
 use edge_testkit::{run_scenario, InjectedFault, Rule};
 use std::path::Path;
 
-/// Purge, notifications, drain and shutdown.
+/// Number of cases of the scenario: purge, notifications, drain and shutdown.
 const CASES: usize = 4;
 
 fn proxy_program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_edge-proxy"))
 }
 
+/// Runs purge, notifications, drain and shutdown against a separate process of the proxy. Any
+/// violation of a rule fails the test.
 #[test]
 fn proxy_violates_no_rule() {
     let report = run_scenario(proxy_program(), None).expect("the scenario runs");
@@ -18,6 +20,8 @@
     assert_eq!(report.completed_cases.len(), CASES, "{report}");
 }
 
+/// A scenario that checked nothing would always pass. With fakes that misbehave on purpose, it must
+/// report the rule that is violated, and all violations of it.
 #[test]
 fn injected_faults_are_reported() {
     for (fault, rule) in [
@@ -27,7 +31,7 @@
         let report = run_scenario(proxy_program(), Some(fault)).expect("the scenario runs");
         assert!(
             report.violations.len() > 1,
-            "every violation is reported, not only the first: {report}"
+            "only the first violation was reported, or none: {report}"
         );
         assert!(
             report.violations.iter().all(|found| found.rule == rule),
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -453,5 +453,5 @@
             assert!(fixture.flush());
         }
     }
-    unreachable!("the socket buffers are has_age_limit, so an attempt must stay unwritten")
+    unreachable!("the socket buffers are bounded, so an attempt must stay unwritten")
 }
