--- a/crates/proxy/tests/event_bus_subscription.rs
+++ b/crates/proxy/tests/event_bus_subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription to the event bus, and the server lists that come by it.
+//! The subscription to the event bus, and the endpoint lists that arrive on it.
 
 use edge_testkit::fake_cache::FakeCacheServer;
 use edge_testkit::fake_event_bus::{cache_entry, origin_entry, server_state};
@@ -10,15 +10,18 @@
 use edge_testkit::unix_ms;
 use serde_json::Value;
 
+/// After a disconnect, the proxy must resume behind the last event that it has handled, or it
+/// misses purges and drains. A purge must take effect although the cache still has a copy.
 #[test]
-fn subscription_resumes_behind_the_last_event_and_its_purges_bound_the_age() {
+fn subscription_resumes_behind_the_last_event_and_purges_limit_the_age_of_copies() {
     let proxy = ProxyFixture::start();
     let mut client = proxy.connect();
     assert_eq!(proxy.event_bus.wait_for_subscription(0), Some(0));
     let mut copy_created_at_ms =
         || fetch_object(&mut client, READ_CLASS, &object_key(1)).copy_created_at_ms();
     let first_copy_ms = copy_created_at_ms().unwrap();
-    // Within one millisecond no age tells the copy from one behind the purge.
+    // Ages are in milliseconds. Within one millisecond, a copy from before the purge has the same
+    // age as one from after it.
     while unix_ms() <= first_copy_ms + 1 {}
 
     proxy
@@ -31,16 +34,18 @@
     proxy.shut_down();
 }
 
+/// The endpoint list of a large fleet arrives in many reads. If the proxy reconnected while the
+/// event is still arriving, it would never get the whole list.
 #[test]
 fn server_list_of_a_large_fleet_is_read_by_one_subscription() {
-    const SERVERS: usize = 2000;
+    const SERVER_COUNT: usize = 2000;
     let proxy = ProxyFixture::builder()
         .caches(&[])
         .config(|config| config["known"] = Value::Null)
         .start();
     let origin = origin_entry(&proxy.origin, server_state::READY);
     let mut server_list = vec![origin.clone()];
-    for number in 0..SERVERS {
+    for number in 0..SERVER_COUNT {
         let mut server = origin.clone();
         server["uid"] = format!("s-{number:08x}").into();
         server["az"] = "far".into();
@@ -53,25 +58,27 @@
     while health_status(&mut client) != 200 {
         assert!(
             proxy.event_bus.subscription_count() <= 1,
-            "the first subscription was given up while the event was read"
+            "the proxy replaced its first subscription while the event was still arriving"
         );
     }
     proxy.shut_down();
 }
 
+/// While the event bus is disconnected, other connections could take its slot in a full connection
+/// table. Without the event bus, the proxy would learn of no drain and no purge.
 #[test]
-fn event_bus_is_connected_again_although_other_connections_fill_the_table() {
-    // Room for the event bus, a client and a cache server.
-    const CONNECTIONS: usize = 3;
+fn event_bus_is_reconnected_although_other_connections_fill_the_table() {
+    // Connection table with room for the event bus, a client and a cache server.
+    const MAX_CONNECTIONS: usize = 3;
     let mut proxy = ProxyFixture::builder()
-        .limits(|limits| limits.connections = CONNECTIONS)
+        .limits(|limits| limits.connections = MAX_CONNECTIONS)
         .start();
     let mut client = proxy.connect();
     let response = fetch_object(&mut client, READ_CLASS, &object_key(1));
     assert_eq!(response.status, 200);
     assert_eq!(proxy.event_bus.wait_for_subscription(0), Some(0));
 
-    // The proxy sees the end of the subscription and a request for the origin at once.
+    // The proxy notices the end of the subscription and a request for the origin in the same turn.
     let paused = proxy.pause();
     proxy.event_bus.disconnect_subscribers_and_wait();
     client
@@ -82,12 +89,14 @@
     assert_eq!(
         next_response(&mut client).1.status,
         503,
-        "a connection to the origin would take the place of the event bus"
+        "a connection to the origin took the slot reserved for the event bus"
     );
     assert_eq!(proxy.event_bus.wait_for_subscription(1), Some(0));
     proxy.shut_down();
 }
 
+/// An entry with an unknown state must not cause the whole event to be discarded, because drains of
+/// other servers in it would be lost.
 #[test]
 fn unreadable_server_entry_does_not_invalidate_the_others() {
     const FETCHES_AFTER_DRAIN: u64 = 20;
@@ -105,7 +114,8 @@
         .event_bus
         .publish_object_purge(&object_key(1), unix_ms());
 
-    // Once a request has an age limit, the purge is known, and so is the list before it.
+    // Once a request has an age limit, the proxy has received the purge, and thus the endpoint list
+    // before it.
     let got_age_limit = |cache: &FakeCacheServer| {
         let mut commands = cache.received().into_iter();
         commands.any(|command| command.field("maxage").is_some())
@@ -120,12 +130,18 @@
         let response = fetch_object(&mut client, READ_CLASS, &object_key(number));
         assert_eq!(response.status, 200);
     }
-    assert_eq!(draining.received().len(), commands_before, "it drains");
+    assert_eq!(
+        draining.received().len(),
+        commands_before,
+        "the draining cache server was sent a new command"
+    );
     proxy.shut_down();
 }
 
+/// If the event bus needs longer to answer than the silence timeout, giving up each connection at
+/// that timeout would mean that no answer is ever read.
 #[test]
-fn an_event_bus_that_is_slow_to_answer_is_heard() {
+fn a_late_answer_of_the_event_bus_is_read_from_the_earlier_connection() {
     const SILENCE_US: u64 = 50_000;
     let event_bus = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder()
@@ -136,7 +152,8 @@
         .limits(|limits| limits.event_bus_silence_us = SILENCE_US)
         .start();
 
-    // The bus does not answer in time; the proxy asks again, and the first answer comes after that.
+    // The event bus does not answer in time, and the proxy connects again. Then the answer arrives
+    // on the first connection.
     let mut slow_connection = event_bus.accept().unwrap();
     let _second_connection = event_bus.accept().unwrap();
     let list = serde_json::json!({"offset": 1, "topology": {"rev": 1, "all": true, "targets": [
@@ -155,6 +172,9 @@
         std::thread::sleep(std::time::Duration::from_millis(1));
         status = health_status(&mut client);
     }
-    assert_eq!(status, 200, "the list has arrived");
+    assert_eq!(
+        status, 200,
+        "the answer on the first connection was discarded"
+    );
     proxy.shut_down();
 }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! Shutdown on SIGTERM: what is open is answered, and nothing else is started.
+//! Graceful shutdown on SIGTERM: open requests are answered, and after the grace period no further
+//! ones are admitted.
 
 use edge_proxy::config::Config;
 use edge_testkit::fake_cache::Behavior;
@@ -11,8 +12,9 @@
 use edge_testkit::scripted_server::ScriptedServer;
 use serde_json::json;
 
+/// SIGTERM must not cut off a request that a cache server is still working on.
 #[test]
-fn open_request_is_answered() {
+fn open_request_is_answered_after_sigterm() {
     const RESPONSE_DELAY_MS: u64 = 150;
     let mut proxy = ProxyFixture::start();
     proxy.caches[0].set_behavior(Behavior::delayed(RESPONSE_DELAY_MS));
@@ -28,6 +30,8 @@
     proxy.wait_for_exit();
 }
 
+/// A request admitted after the grace period could still be open when the process is killed.
+/// Earlier requests must be answered before their connections are closed.
 #[test]
 fn after_the_grace_period_open_requests_are_answered_and_new_ones_refused() {
     let server = ScriptedServer::start().unwrap();
@@ -46,14 +50,14 @@
 
     proxy.shut_down_past_grace_period();
 
-    // The idle client's connection is closed, and nobody reads what crosses the close.
+    // The idle client's connection is closed. A request that crosses the close is not read.
     assert!(is_closed(&mut idle_client));
     idle_client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
         .unwrap();
 
-    // The waiting client gets a response to all that it sends; a new request would outlive the
-    // process.
+    // The waiting client gets a response to every request. A new one is refused, because it could
+    // still be open when the process is killed.
     waiting_client
         .request_object(2, WRITE_CLASS, &object_key(3), LONG_BUDGET_MS)
         .unwrap();
@@ -62,20 +66,23 @@
     assert_eq!(next_status(&mut waiting_client), (1, 200));
     assert!(
         is_closed(&mut waiting_client),
-        "nothing is open on it any more"
+        "the connection was not closed although all its requests are answered"
     );
 
     drop((waiting_client, idle_client));
     proxy.wait_for_exit();
     assert!(
         connection.next_command().is_err(),
-        "no other request is forwarded"
+        "a request that arrived after the grace period was forwarded"
     );
 }
 
+/// Closing a socket with unread input makes the kernel reset the connection, and responses that the
+/// client has not yet received are lost. The lingering close prevents this.
 #[test]
-fn bytes_that_cross_the_shutdown_reset_no_response() {
-    // More than the sockets hold at once: the rest is on its way when all is written.
+fn input_that_crosses_the_shutdown_does_not_reset_responses() {
+    // More than the socket buffers hold, so that bytes are still in transit when the proxy has
+    // written everything.
     const BODY_BYTES: usize = 480_000;
     const REQUESTS: u16 = 8;
     let mut proxy = ProxyFixture::builder()
@@ -96,7 +103,7 @@
 
     proxy.shut_down_past_grace_period();
 
-    // While it reads, the client sends the first bytes of a request that never becomes complete.
+    // While it reads, the client sends the first bytes of a request that it never completes.
     let params = [("HTTP_REQUEST_ID", "0a")];
     let request = FastCgiClient::encode_request(100, "/invoke/photo", &params, b"");
     for byte in request.chunks(1).take(usize::from(REQUESTS)) {
@@ -104,18 +111,20 @@
         let (request_id, response) = next_response(&mut client);
         assert_eq!(
             response.status, 200,
-            "the response to request {request_id} is complete"
+            "request {request_id} was not answered completely"
         );
     }
     drop(client);
     proxy.wait_for_exit();
 }
 
+/// SIGKILL may follow the shutdown deadline. Requests that are open by then must be answered as
+/// failed, even where attempts must not be cancelled.
 #[test]
 fn open_request_is_answered_at_the_shutdown_deadline() {
     for cancel_allowed in [true, false] {
         let server = ScriptedServer::start().unwrap();
-        // The deadline comes with SIGTERM itself.
+        // The shutdown deadline coincides with SIGTERM.
         let mut proxy = ProxyFixture::builder()
             .scripted_server(&server)
             .config(|config| config["settings"]["limits"]["cancel"] = cancel_allowed.into())
@@ -133,14 +142,19 @@
         assert_eq!(
             next_response(&mut client).1.status,
             502,
-            "the write may have run"
+            "a write that may have run was not answered as failed, cancel allowed: {cancel_allowed}"
+        );
+        assert!(
+            is_closed(&mut client),
+            "the connection was not closed after its last response"
         );
-        assert!(is_closed(&mut client), "nothing else is due");
         drop(client);
         proxy.wait_for_exit();
     }
 }
 
+/// SIGKILL follows SIGTERM after the longest request deadline plus a fixed time, up to a maximum. A
+/// later shutdown deadline would leave open requests without an answer.
 #[test]
 fn shutdown_deadline_precedes_the_earliest_kill() {
     for (request_deadline_us, shutdown_deadline_us) in [
@@ -158,7 +172,7 @@
 
         assert_eq!(
             limits.shutdown_deadline_us, shutdown_deadline_us,
-            "longest deadline of a request: {request_deadline_us}"
+            "longest deadline of a request: {request_deadline_us} us"
         );
     }
 }
--- a/crates/proxy/tests/interconnect.rs
+++ b/crates/proxy/tests/interconnect.rs
@@ -11,11 +11,13 @@
 const TRIGGERS_PATH: &str = "/cdni/triggers";
 const REDIRECTION_PATH: &str = "/cdni/redirect";
 
+/// Posts a JSON document to the interconnect listener.
 fn post(proxy: &ProxyFixture, path: &str, body: &Value) -> Response {
     let address = proxy.interconnect_address;
     request(address, "POST", path, &body.to_string()).unwrap()
 }
 
+/// Gets a resource from the interconnect listener.
 fn get(proxy: &ProxyFixture, path: &str) -> Response {
     request(proxy.interconnect_address, "GET", path, "").unwrap()
 }
@@ -24,12 +26,12 @@
     serde_json::from_slice(&response.body).unwrap()
 }
 
-/// A command of a trigger from the peer CDN.
+/// Returns the trigger command of a peer CDN.
 fn trigger(action: &str, selector: &str, value: &str) -> Value {
     json!({"trigger": {"type": action, selector: [value]}, "cdn-path": [PEER_PROVIDER]})
 }
 
-/// Posts a trigger, and checks its status resource through its life: created, read and deleted.
+/// Posts a trigger, and checks its status resource from creation through reading to deletion.
 fn check_trigger(
     proxy: &ProxyFixture,
     command: &Value,
@@ -54,12 +56,15 @@
     assert_eq!(get(proxy, status_path).status, 404);
 }
 
-/// Asks for a redirection of a client by way of a provider.
+/// Requests the redirection of a client and returns the response. The CDN path names `provider`
+/// alone.
 fn redirect(proxy: &ProxyFixture, http: Value, provider: &str) -> Value {
     let body = json!({"http": http, "cdn-path": [provider]});
     json_body(&post(proxy, REDIRECTION_PATH, &body))
 }
 
+/// Malformed requests, loops between CDNs, foreign URLs and unsupported triggers must get the
+/// status or error code that CDNI specifies, because peer CDNs act on them.
 #[test]
 fn peers_get_the_statuses_and_errors_of_the_specification() {
     let proxy = ProxyFixture::start();
@@ -108,6 +113,8 @@
     proxy.shut_down();
 }
 
+/// A request of a peer CDN must carry its class, part and a trace id to the cache server, and must
+/// allow revalidation of the copy that the client already has.
 #[test]
 fn content_requests_of_peers_are_routed_like_those_of_clients() {
     const TRACE_ID_DIGITS: usize = 16;
@@ -133,6 +140,9 @@
     get_with_headers(&format!("If-None-Match: {etag}\r\n"));
     let client_copy = etag.trim_matches('"');
     let revalidation = cache.wait_for_command(|command| command.field("have") == Some(client_copy));
-    assert!(revalidation.is_some(), "the client's copy is forwarded");
+    assert!(
+        revalidation.is_some(),
+        "the cache server was not asked to revalidate the client's copy"
+    );
     proxy.shut_down();
 }
--- a/crates/proxy/tests/purges.rs
+++ b/crates/proxy/tests/purges.rs
@@ -1,4 +1,5 @@
-//! Purges: how long they bound the age of copies, and how they spread and survive.
+//! Purges: for how long they limit the age of copies, how they reach peer proxies, and how they
+//! survive a restart.
 
 use edge_testkit::fastcgi_client::FastCgiClient;
 use edge_testkit::http_client;
@@ -8,10 +9,10 @@
 use serde_json::{json, Value};
 use std::net::UdpSocket;
 
-/// Largest datagram between proxies.
+/// Size of the largest datagram between proxies.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// Has a peer CDN purge an object, and returns the status of the response.
+/// Purges an object on behalf of a peer CDN, and returns the HTTP status of the response.
 fn purge_by_peer_cdn(proxy: &ProxyFixture, object_key: &str) -> u16 {
     let trigger = purge_trigger(object_key).to_string();
     let address = proxy.interconnect_address;
@@ -20,10 +21,13 @@
         .status
 }
 
+/// Fetches an object and returns the creation time of the copy, in milliseconds of Unix time.
 fn copy_created_at_ms(client: &mut FastCgiClient, object_key: &str) -> Option<u64> {
     fetch_object(client, READ_CLASS, object_key).copy_created_at_ms()
 }
 
+/// A peer CDN sends its purge to one proxy. Without gossip, the other proxies would go on serving
+/// purged copies. Datagrams from unknown addresses must not purge anything.
 #[test]
 fn purge_reaches_the_peer_proxies_and_is_not_accepted_from_strangers() {
     let (purged_by_peer, purged_by_cdn, purged_by_stranger) =
@@ -39,7 +43,8 @@
     let mut client = proxy.connect();
     let peers_copy_ms = copy_created_at_ms(&mut client, &purged_by_peer);
     let strangers_copy_ms = copy_created_at_ms(&mut client, &purged_by_stranger);
-    // Within one millisecond no age tells the copies from those behind a purge.
+    // Ages are in milliseconds. Within one millisecond, copies from before a purge have the same
+    // age as those from after it.
     while unix_ms() <= strangers_copy_ms.unwrap() + 1 {}
 
     assert_eq!(purge_by_peer_cdn(&proxy, &purged_by_cdn), 201);
@@ -61,11 +66,13 @@
     assert_eq!(
         copy_created_at_ms(&mut client, &purged_by_stranger),
         strangers_copy_ms,
-        "the copy that the stranger purged is still served"
+        "a purge from an unknown address took effect"
     );
     proxy.shut_down();
 }
 
+/// Cache servers are not notified of the purges of peer CDNs. A proxy that forgot such a purge at a
+/// restart would serve purged copies again.
 #[test]
 fn purge_by_a_peer_cdn_is_remembered_across_a_restart() {
     let purge_log = std::env::temp_dir().join(format!("edge-proxy-purges-{}", std::process::id()));
@@ -89,15 +96,16 @@
     std::fs::remove_file(purge_log).unwrap();
 }
 
+/// A fill that is in flight when caches drop their copies may store an older copy afterwards. The
+/// age limit of a purge must therefore outlast its completion time.
 #[test]
-fn purge_bounds_the_age_also_after_the_time_in_which_caches_drop_their_copies() {
-    const CACHES_DROP_COPIES_WITHIN_US: u64 = 200_000;
-    // Behind that time, by more than the clock's step.
+fn purge_limits_the_age_of_copies_even_after_caches_have_dropped_theirs() {
+    const PURGE_COMPLETION_US: u64 = 200_000;
+    // Longer than that time with the 50 ms that the proxy adds, by more than the clock's step.
     const WAIT_MS: u64 = 260;
     let proxy = ProxyFixture::builder()
         .config(|config| {
-            config["settings"]["family-info"]["purge-takes-us"] =
-                CACHES_DROP_COPIES_WITHIN_US.into();
+            config["settings"]["family-info"]["purge-takes-us"] = PURGE_COMPLETION_US.into();
         })
         .start();
     let mut client = proxy.connect();
@@ -120,7 +128,7 @@
     assert_eq!(fetch(), 200);
     assert!(
         last_fetch_has_age_limit(),
-        "a fill that was under way may have brought an older copy"
+        "the age limit ended although a fill in flight at the purge may have stored an older copy"
     );
     proxy.shut_down();
 }
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -1,4 +1,4 @@
-//! What a running proxy takes from its configuration file on SIGHUP.
+//! Reload of the configuration file on SIGHUP.
 
 use edge_testkit::fake_cache::Behavior;
 use edge_testkit::fake_event_bus::FakeEventBus;
@@ -6,11 +6,13 @@
 use edge_testkit::sample_deployment::{object_key, READ_CLASS};
 use serde_json::{json, Value};
 
-/// Long enough for a reload while a request is open.
+/// Long enough to reload the configuration while a request is open.
 const RESPONSE_DELAY_MS: u64 = 300;
 
+/// A reload must not close client connections or lose events between the old and the new event bus.
+/// An invalid file must change nothing.
 #[test]
-fn reload_moves_the_subscription_and_drops_nothing_open() {
+fn reload_moves_the_subscription_and_keeps_open_requests_and_connections() {
     let mut proxy = ProxyFixture::start();
     proxy.event_bus.publish_tag_purge(1, 1);
     assert_eq!(proxy.event_bus.wait_for_subscription(0), Some(0));
@@ -37,7 +39,7 @@
         == Some(copy_created_at_ms)
     {}
 
-    // A valid one moves the subscription, which goes on behind the last event.
+    // A valid file moves the subscription, which resumes behind the last event.
     for tag in 0..2 {
         new_event_bus.publish_tag_purge(tag, 1);
     }
@@ -46,25 +48,34 @@
     assert_eq!(new_event_bus.wait_for_subscription(0), Some(3));
 
     let response = fetch_object(&mut client, READ_CLASS, &object_key(3));
-    assert_eq!(response.status, 200, "the client's connection is kept");
+    assert_eq!(
+        response.status, 200,
+        "the client's connection did not survive the reload"
+    );
     proxy.shut_down();
 }
 
+/// SIGHUP may arrive while the file is partially written. Without another attempt, the proxy would
+/// keep its previous configuration until the next signal.
 #[test]
 fn a_configuration_that_could_not_be_read_is_read_again() {
     let mut proxy = ProxyFixture::start();
     assert_eq!(proxy.event_bus.wait_for_subscription(0), Some(0));
     let new_event_bus = FakeEventBus::start().unwrap();
-    let mut whole = proxy.config_file.lock().unwrap().clone();
-    whole["bus"] = json!(new_event_bus.address.to_string());
+    let mut complete_config = proxy.config_file.lock().unwrap().clone();
+    complete_config["bus"] = json!(new_event_bus.address.to_string());
 
-    // The signal comes while the file is half written. Whole, it is there without another signal.
+    // The signal arrives while the file is partially written. The complete file follows without
+    // another signal.
     *proxy.config_file.lock().unwrap() = Value::Null;
     proxy.control.reload().unwrap();
     let mut client = proxy.connect();
     let response = fetch_object(&mut client, READ_CLASS, &object_key(1));
-    assert_eq!(response.status, 200, "the old configuration stays in force");
-    *proxy.config_file.lock().unwrap() = whole;
+    assert_eq!(
+        response.status, 200,
+        "the proxy did not keep serving with its previous configuration"
+    );
+    *proxy.config_file.lock().unwrap() = complete_config;
 
     assert_eq!(new_event_bus.wait_for_subscription(0), Some(0));
     drop(client);
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -1,4 +1,4 @@
-//! How FastCGI requests are served.
+//! Serving of FastCGI requests: reads, writes, health checks and unreachable servers.
 
 use edge_testkit::fake_event_bus::{origin_entry, server_state};
 use edge_testkit::fastcgi_client::{
@@ -13,8 +13,8 @@
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 
-/// An address at which nothing listens any more. That a connection is refused proves that no
-/// attempt ran.
+/// Returns an address at which nothing listens any more. A refused connection proves that no
+/// attempt has run.
 fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -22,6 +22,8 @@
         .unwrap()
 }
 
+/// Requests are multiplexed on one connection. A partially received request must not delay later
+/// ones, and its response must go to its own id.
 #[test]
 fn requests_on_one_connection_complete_in_any_order() {
     let proxy = ProxyFixture::start();
@@ -51,10 +53,10 @@
     assert_eq!((request_id, response.status), (7, 200));
     assert!(
         response.body.starts_with(b"000000000000000b/0@"),
-        "the body is that of the cache server"
+        "the body differs from that of the cache server"
     );
 
-    // Many responses in turn: what is counted as waiting to be written must come back to nothing.
+    // Many responses in sequence: the count of unsent answer bytes must return to zero each time.
     for number in 0..50 {
         let response = fetch_object(&mut client, READ_CLASS, &object_key(number));
         assert_eq!(response.status, 200);
@@ -62,6 +64,8 @@
     proxy.shut_down();
 }
 
+/// Only the origin can execute a write. A lost body or idempotency key would make it do the wrong
+/// thing, or the same thing twice.
 #[test]
 fn write_is_forwarded_to_the_origin_with_body_and_idempotency_key() {
     let proxy = ProxyFixture::start();
@@ -73,10 +77,16 @@
     assert_eq!(command.body, WRITE_BODY);
     assert_eq!(command.field("once"), Some(IDEMPOTENCY_KEY));
     assert_eq!(command.field("src"), None);
-    assert_eq!(proxy.caches[0].received(), [], "no cache server is asked");
+    assert_eq!(
+        proxy.caches[0].received(),
+        [],
+        "a write was sent to a cache server"
+    );
     proxy.shut_down();
 }
 
+/// When no server can be reached, the client must get a prompt answer with a delay for its retry,
+/// instead of waiting until its time is over.
 #[test]
 fn unreachable_servers_yield_503_with_a_retry_delay() {
     let proxy = ProxyFixture::builder()
@@ -91,6 +101,8 @@
     proxy.shut_down();
 }
 
+/// A proxy without an endpoint list cannot serve requests. A successful health check would make web
+/// servers send it requests too early.
 #[test]
 fn health_check_fails_until_servers_are_known() {
     let proxy = ProxyFixture::builder()
@@ -103,11 +115,13 @@
 
     let origin = origin_entry(&proxy.origin, server_state::READY);
     proxy.event_bus.publish_server_list(vec![origin]);
-    // Until the event has come: only the test runner bounds this.
+    // Wait until the event has arrived. Only the time limit of the test runner bounds the wait.
     while health_status(&mut client) != 200 {}
     proxy.shut_down();
 }
 
+/// A 304 for a copy other than the client's, or one that names no copy, would make the client keep
+/// outdated content. Such an answer must count as an error.
 #[test]
 fn client_copy_is_confirmed_only_if_the_server_names_that_copy() {
     const CLIENT_ETAG: &str = "00000000000000c0";
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -130,8 +130,8 @@
     );
 }
 
-/// A late answer to a cancelled attempt must not count as the answer to a further attempt of the
-/// same request. The connection therefore remembers the cancelled id for a limited time.
+/// An abort names only the request id. A further attempt on another connection could arrive before
+/// it and be aborted, so the connection remembers the id and is preferred for a limited time.
 #[test]
 fn a_reported_cancellation_is_remembered_so_that_a_further_attempt_follows_its_abort() {
     let mut fixture = Fixture::connected();
