--- a/crates/proxy/tests/cancellation.rs
+++ b/crates/proxy/tests/cancellation.rs
@@ -1,4 +1,4 @@
-//! Requests whose clients no longer wait for them.
+//! Requests whose clients have aborted them, disconnected or run out of time.
 
 use edge_proxy::protocol::fastcgi::{self, record_type};
 use edge_testkit::fake_cache::Behavior;
@@ -10,8 +10,10 @@
 use edge_testkit::TEST_TIMEOUT;
 use std::time::Instant;
 
+/// A server that never answers must not leave its client without a response. A request that the
+/// client aborts must be aborted at the server too, or it goes on using resources.
 #[test]
-fn unresponsive_server_costs_one_503_and_an_aborted_request_is_cancelled_there() {
+fn unresponsive_server_yields_503_and_an_aborted_request_is_cancelled_at_the_server() {
     let proxy = ProxyFixture::start();
     let cache = &proxy.caches[0];
     cache.set_behavior(Behavior::unresponsive());
@@ -23,7 +25,7 @@
     assert_eq!(
         next_status(&mut client),
         (1, 503),
-        "the client may repeat it"
+        "a request out of time was not answered with 503, after which the client may repeat it"
     );
 
     client
@@ -39,8 +41,10 @@
     proxy.shut_down();
 }
 
+/// A client may abort or disconnect before its request is sent to a server. The request must then
+/// be dropped from the queue, whether or not cancellation is allowed.
 #[test]
-fn requests_of_departed_clients_are_not_started() {
+fn requests_of_disconnected_clients_are_not_started() {
     for cancel_allowed in [true, false] {
         let server = ScriptedServer::start().unwrap();
         let mut proxy = ProxyFixture::builder()
@@ -48,7 +52,7 @@
             .config(|config| config["settings"]["limits"]["cancel"] = cancel_allowed.into())
             .start();
 
-        // All of this comes before the connection to the server is established.
+        // All of this arrives before the connection to the server is established.
         let paused = proxy.pause();
         let mut aborting_client = proxy.connect();
         let mut closing_client = proxy.connect();
@@ -79,8 +83,10 @@
     }
 }
 
+/// Without cancellation, an abandoned request waits for the response of its server. If that never
+/// arrives, the request must not keep its slot in the request table for ever.
 #[test]
-fn abandoned_request_is_freed_at_its_deadline_although_no_response_comes() {
+fn abandoned_request_is_freed_at_its_deadline_although_no_response_arrives() {
     let server = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder()
         .scripted_server(&server)
@@ -96,8 +102,8 @@
     client.abort(1).unwrap();
     assert_eq!(client.next_response().unwrap(), (1, None));
 
-    // The table has room for one request: until the first one's deadline, others are refused. The
-    // response to the health check comes first if the second request is not refused.
+    // The table has room for one request. Until the deadline of the first one, further requests are
+    // refused. If the second request is admitted, the response to the health check arrives first.
     let deadline = Instant::now() + TEST_TIMEOUT;
     let fetch = loop {
         client
@@ -109,7 +115,10 @@
             (_, refusal) => assert_eq!(refusal.unwrap().status, 503),
         }
         assert_eq!(client.next_response().unwrap().0, 3);
-        assert!(Instant::now() < deadline, "the request is never freed");
+        assert!(
+            Instant::now() < deadline,
+            "the abandoned request was not freed at its deadline"
+        );
     };
 
     assert_eq!(fetch.object_key(), Some(object_key(2).as_str()));
@@ -118,8 +127,10 @@
     proxy.shut_down();
 }
 
+/// A client may send an abort behind so much other input that it does not fit into the input buffer
+/// at once. The abort must still be read.
 #[test]
-fn a_cancellation_behind_other_input_is_noticed() {
+fn an_abort_behind_other_input_reaches_the_server() {
     const OTHER_RECORDS: usize = 100;
     const RECORD_BYTES: usize = 2_000;
     let server = ScriptedServer::start().unwrap();
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -1,4 +1,5 @@
-//! Connections of FastCGI clients: what is malformed, slow or not kept alive affects nothing else.
+//! Connections of FastCGI clients: malformed input, slow clients and connections without keep-alive
+//! affect no other request.
 
 use edge_testkit::fake_cache::Behavior;
 use edge_testkit::fastcgi_client::{FastCgiClient, HEALTH_CHECK_PATH};
@@ -9,10 +10,11 @@
 use edge_testkit::sample_deployment::{object_key, READ_CLASS};
 use edge_testkit::scripted_server::ScriptedServer;
 
-/// What is no FastCGI record.
+/// Bytes that are not a FastCGI record.
 const MALFORMED_RECORD: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 
-/// Each makes a valid request a malformed one. `SCRIPT_NAME` stands for its path.
+/// Parameters each of which makes a valid request malformed. `SCRIPT_NAME` is the path of the
+/// request.
 const MALFORMED_PARAMS: [(&str, &str); 16] = [
     ("HTTP_REQUEST_ID", "a,b"),
     ("HTTP_REQUEST_ID", ""),
@@ -32,6 +34,8 @@
     ("SCRIPT_NAME", "/invoke/a,b"),
 ];
 
+/// Values from clients go into commands to cache servers, where a comma, an equals sign or a huge
+/// number could be misread. Malformed input must not affect other connections.
 #[test]
 fn malformed_requests_get_400_and_malformed_records_close_only_their_connection() {
     let proxy = ProxyFixture::start();
@@ -58,25 +62,41 @@
             .unwrap();
         assert_eq!(next_response(&mut client).1.status, 400, "{name}: {value}");
     }
-    assert_eq!(proxy.caches[0].received(), [], "nothing is forwarded");
+    assert_eq!(
+        proxy.caches[0].received(),
+        [],
+        "a malformed request was forwarded"
+    );
 
     client
         .send(&FastCgiClient::encode_request(2, "/elsewhere", &[], b""))
         .unwrap();
-    assert_eq!(next_response(&mut client).1.status, 404, "unknown path");
+    assert_eq!(
+        next_response(&mut client).1.status,
+        404,
+        "an unknown path was not answered with 404"
+    );
 
     client.send(MALFORMED_RECORD).unwrap();
-    assert!(client.next_response().is_err(), "the connection is closed");
+    assert!(
+        client.next_response().is_err(),
+        "the connection was not closed after a malformed record"
+    );
 
     let response = fetch_object(&mut other_client, READ_CLASS, &object_key(1));
-    assert_eq!(response.status, 200, "the other connection is served");
+    assert_eq!(
+        response.status, 200,
+        "a malformed record on one connection affected another one"
+    );
     proxy.shut_down();
 }
 
+/// A client that reads slowly makes responses wait in the proxy. They must not be truncated, and
+/// must not delay the responses to other clients.
 #[test]
 fn slow_reader_gets_complete_responses_and_delays_no_other_client() {
     const BODY_BYTES: usize = 240_000;
-    // With bodies of that size far more than sockets and buffers hold.
+    // With bodies of this size, far more than the sockets and buffers hold.
     const SLOW_REQUESTS: u16 = 32;
     let is_complete = |body: &[u8]| body.len() / 1000 == BODY_BYTES / 1000;
     let proxy = ProxyFixture::start();
@@ -91,27 +111,33 @@
             .unwrap();
     }
 
-    // An object that none of the slow requests is for.
+    // This object is not requested by the slow client.
     other_client
         .request_object(99, READ_CLASS, &object_key(99), REQUEST_BUDGET_MS)
         .unwrap();
     let (_, response) = next_response(&mut other_client);
-    assert!(is_complete(&response.body), "{}", response.body.len());
+    assert!(
+        is_complete(&response.body),
+        "the body was truncated to {} bytes",
+        response.body.len()
+    );
 
     for _ in 1..=SLOW_REQUESTS {
         let (request_id, response) = next_response(&mut slow_client);
         assert!(
             response.status == 503 || is_complete(&response.body),
-            "request {request_id}: {}",
+            "request {request_id}: truncated body with status {}",
             response.status
         );
     }
     proxy.shut_down();
 }
 
+/// A client that does not ask for keep-alive waits for the close of the connection. Without it, the
+/// client would wait until the idle timeout.
 #[test]
 fn connection_without_keep_alive_is_closed_after_its_response() {
-    // Without the flag that keeps the connection open.
+    // The flags of the request do not include the one that keeps the connection open.
     const NO_FLAGS: u8 = 0;
     let server = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder()
@@ -135,12 +161,17 @@
     connection.serve_next().unwrap();
 
     assert_eq!(next_response(&mut client).1.status, 200);
-    assert!(is_closed(&mut client), "no idle time-out is waited for");
+    assert!(
+        is_closed(&mut client),
+        "the connection was not closed right after its response"
+    );
     proxy.shut_down();
 }
 
+/// A connection is closed after a malformed record. The responses to valid requests before that
+/// record must still be written.
 #[test]
-fn malformed_record_does_not_cost_the_responses_to_requests_before_it() {
+fn responses_to_requests_before_a_malformed_record_are_still_sent() {
     let proxy = ProxyFixture::start();
     let mut client = proxy.connect();
     let invalid_id = [("HTTP_REQUEST_ID", "not hexadecimal!")];
--- a/crates/proxy/tests/purges.rs
+++ b/crates/proxy/tests/purges.rs
@@ -100,6 +100,7 @@
 /// age limit of a purge must therefore outlast its completion time.
 #[test]
 fn purge_limits_the_age_of_copies_even_after_caches_have_dropped_theirs() {
+    // Time after a purge within which cache servers drop their copies.
     const PURGE_COMPLETION_US: u64 = 200_000;
     // Longer than that time with the 50 ms that the proxy adds, by more than the clock's step.
     const WAIT_MS: u64 = 260;
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -1,4 +1,5 @@
-//! Bounds on connections and memory: who has to leave when they are reached, and who does not.
+//! Limits on connections and memory: which clients are disconnected when a limit is reached, and
+//! which are kept.
 
 use edge_testkit::fake_cache::Behavior;
 use edge_testkit::fastcgi_client::{FastCgiClient, END_OF_INPUT_BYTES, HEALTH_CHECK_PATH};
@@ -11,9 +12,11 @@
 use edge_testkit::Response;
 use std::io::{self, ErrorKind};
 
-/// With so many sockets there is room for one client.
+/// Number of sockets that leaves room for one client connection.
 const SOCKETS_FOR_ONE_CLIENT: u64 = 3;
 
+/// Idle clients in a full connection table would lock out all others. A client that waits for a
+/// response must not be disconnected to make room.
 #[test]
 fn full_connection_table_evicts_an_idle_client_but_not_a_waiting_one() {
     const RESPONSE_DELAY_MS: u64 = 280;
@@ -32,7 +35,7 @@
     proxy.caches[0].wait_for_request_of(&object_key(2)).unwrap();
     assert!(
         idle_client.next_response().is_err(),
-        "the idle client is evicted"
+        "the idle client was not evicted to make room"
     );
 
     let mut queued_client = proxy.connect();
@@ -42,7 +45,7 @@
     assert_eq!(
         next_response(&mut waiting_client).1.status,
         200,
-        "the waiting client is not evicted for the queued one"
+        "the waiting client was evicted for the queued one"
     );
 
     drop(waiting_client);
@@ -50,10 +53,12 @@
     proxy.shut_down();
 }
 
+/// Clients that connect and send nothing, or only part of a request, could fill the connection
+/// table and lock out all others.
 #[test]
 fn silent_clients_and_partial_requests_are_disconnected_and_block_nobody() {
     const SOCKETS: u64 = 20;
-    // Twice as many as there is room for.
+    // Twice as many clients as there is room for.
     const CLIENTS: usize = 24;
     const SILENT_CLIENTS: usize = 12;
     const PARTIAL_REQUEST_BYTES: usize = 30;
@@ -66,7 +71,7 @@
 
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| proxy.connect()).collect();
     for client in &mut clients[SILENT_CLIENTS..] {
-        // It may be disconnected already.
+        // The client may already be disconnected.
         let _ = client.send(partial_request);
     }
 
@@ -76,12 +81,14 @@
         let end = client.next_response().unwrap_err().kind();
         assert!(
             matches!(end, ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset),
-            "{end}"
+            "connection ended with {end}, expected a close or a reset"
         );
     }
     proxy.shut_down();
 }
 
+/// A client may look idle although its request is already in the kernel's buffer. Evicting it would
+/// lose that request.
 #[test]
 fn client_with_an_unread_request_is_not_evicted() {
     let mut proxy = ProxyFixture::builder()
@@ -103,7 +110,7 @@
     assert_eq!(
         next_response(&mut first_client).1.status,
         200,
-        "its request had come when the second client needed room"
+        "a client was evicted although its request had arrived before room was needed"
     );
     second_client
         .request_object(1, READ_CLASS, &object_key(3), LONG_BUDGET_MS)
@@ -112,7 +119,8 @@
     proxy.shut_down();
 }
 
-/// Sends a request without its end and, so that it is read for certain, a health check behind it.
+/// Sends an incomplete request, and a health check behind it whose response shows that the request
+/// was read.
 fn send_partial_request(
     client: &mut FastCgiClient,
     request_id: u16,
@@ -131,9 +139,11 @@
     client.next_response()
 }
 
+/// Many partial requests could exhaust the memory. When their sum exceeds the limit, the client
+/// that holds most must go, not the one that happens to send next.
 #[test]
-fn partial_requests_are_bounded_in_memory_at_the_cost_of_the_largest_client() {
-    // Below the sum of what both clients send.
+fn partial_requests_beyond_the_memory_limit_disconnect_the_client_that_holds_most() {
+    // Less than the sum of what both clients send.
     const PARTIAL_REQUESTS_BYTES: usize = 100_000;
     let proxy = ProxyFixture::builder()
         .limits(|limits| {
@@ -150,7 +160,7 @@
     assert!(send_partial_request(&mut large_client, 2, 30_000).is_ok());
     assert!(
         send_partial_request(&mut small_client, 2, 15_000).is_ok(),
-        "the client that exceeds the bound is not the one that holds most"
+        "the client that exceeded the limit was disconnected instead of the one that holds most"
     );
 
     assert!(is_closed(&mut large_client));
@@ -160,9 +170,11 @@
     proxy.shut_down();
 }
 
+/// Responses that a client does not read are kept in memory. A client that sends requests without
+/// reading would exhaust it.
 #[test]
 fn client_that_reads_no_responses_is_disconnected() {
-    // The responses to them are far more than buffers and sockets hold.
+    // Their responses are far larger than the buffers of the proxy and of the sockets.
     const REQUESTS: u32 = 500_000;
     let proxy = ProxyFixture::start();
     let mut client = proxy.connect();
@@ -170,14 +182,19 @@
 
     let is_disconnected = (0..REQUESTS).any(|_| client.send(&health_check).is_err());
 
-    assert!(is_disconnected, "its responses fill the memory");
+    assert!(
+        is_disconnected,
+        "a client that reads no responses stayed connected and would fill the memory"
+    );
     let response = fetch_object(&mut proxy.connect(), READ_CLASS, &object_key(1));
     assert_eq!(response.status, 200);
     proxy.shut_down();
 }
 
+/// Another client may make the sum of partial requests exceed the limit. The client that holds most
+/// must not lose the answer to its open request over that.
 #[test]
-fn a_client_that_holds_too_much_of_partial_requests_still_gets_the_answers_that_it_is_owed() {
+fn a_client_whose_partial_requests_are_rejected_still_gets_its_open_answers() {
     const PARTIAL_REQUESTS_BYTES: usize = 100_000;
     let server = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder()
@@ -197,24 +214,29 @@
     assert!(send_partial_request(&mut large_client, 1, 40_000).is_ok());
     assert!(send_partial_request(&mut large_client, 2, 30_000).is_ok());
 
-    // The other client takes the sum past the bound.
+    // The other client makes the sum exceed the limit.
     assert!(send_partial_request(&mut small_client, 1, 35_000).is_ok());
 
     connection.answer_ok(&fetch.request_id).unwrap();
-    let mut ended = [
+    let mut responses = [
         large_client.next_response().unwrap(),
         large_client.next_response().unwrap(),
         large_client.next_response().unwrap(),
     ];
-    ended.sort_by_key(|(request_id, _)| *request_id);
-    let statuses: Vec<_> = ended
+    responses.sort_by_key(|(request_id, _)| *request_id);
+    let statuses: Vec<_> = responses
         .iter()
-        .map(|(request_id, response)| (*request_id, response.as_ref().map(|it| it.status)))
+        .map(|(request_id, response)| {
+            (
+                *request_id,
+                response.as_ref().map(|response| response.status),
+            )
+        })
         .collect();
     assert_eq!(
         statuses,
         [(1, None), (2, None), (3, Some(200))],
-        "the partial requests are refused, the open one is answered"
+        "expected the partial requests to be refused and the open one to be answered"
     );
     drop((large_client, small_client));
     proxy.shut_down();
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, in the ways that Linux documents.
+//! System calls that fail temporarily, with the errors that Linux documents for them.
 #![cfg(feature = "fault-injection")]
 
 use edge_proxy::sys::fault::errno::{
@@ -14,10 +14,12 @@
 use edge_testkit::unix_ms;
 use serde_json::json;
 
+/// Returns an injector that injects no fault yet.
 fn no_faults() -> FaultInjector {
     FaultInjector::new(FaultPlan::default())
 }
 
+/// Returns an injector that fails the next calls, given as their number, kind and error number.
 fn faults(faults: impl IntoIterator<Item = (u32, SystemCall, i32)>) -> FaultInjector {
     let injector = no_faults();
     for (limit, call, errno) in faults {
@@ -26,8 +28,10 @@
     injector
 }
 
+/// Opening a connection may fail because this machine lacks a descriptor, memory, a port or a
+/// route. Counting that as a failure of the server would eject healthy servers.
 #[test]
-fn a_connection_that_fails_on_this_machine_blames_no_server() {
+fn a_local_connection_failure_does_not_count_against_the_server() {
     let errors = [
         (SystemCall::Socket, ENFILE),
         (SystemCall::Socket, EMFILE),
@@ -47,21 +51,29 @@
         proxy.event_bus.wait_for_subscription(0);
         let mut client = proxy.connect();
         assert_eq!(health_status(&mut client), 200);
-        // The servers of one request after the other can't be reached.
+        // The servers of several requests in sequence cannot be reached.
         injector.add(Fault::next(4, call, Effect::Error(errno)));
 
         for key in 1..=6 {
             let response = fetch_object(&mut client, READ_CLASS, &object_key(key));
-            assert_eq!(response.status, 200, "request {key}, {call:?}: {errno}");
+            assert_eq!(
+                response.status, 200,
+                "request {key}, {call:?} failed with error {errno}"
+            );
         }
 
-        assert!(injector.injected()[&call] > 0, "{call:?} was not disturbed");
+        assert!(
+            injector.injected()[&call] > 0,
+            "no fault was injected into {call:?}"
+        );
         proxy.shut_down();
     }
 }
 
+/// A system call may fail temporarily while the proxy starts, for want of descriptors, memory or
+/// buffers. The proxy must try again instead of giving up its start.
 #[test]
-fn a_start_survives_what_may_pass() {
+fn the_proxy_starts_despite_temporary_system_call_failures() {
     let calls = [
         (SystemCall::EpollCreate, ENFILE),
         (SystemCall::EpollAdd, ENOMEM),
@@ -73,13 +85,18 @@
         let injector = faults([(2, call, errno)]);
         let proxy = ProxyFixture::builder().faults(&injector).start();
         let response = fetch_object(&mut proxy.connect(), READ_CLASS, &object_key(1));
-        assert_eq!(response.status, 200, "{call:?}");
+        assert_eq!(
+            response.status, 200,
+            "{call:?} failed with error {errno} at the start"
+        );
         proxy.shut_down();
     }
 }
 
+/// A read or write that fails for want of memory, or because of a signal, says nothing about the
+/// connection. Closing it would end all attempts and requests on it.
 #[test]
-fn a_connection_outlives_a_moment_without_memory() {
+fn a_connection_survives_temporary_read_and_write_failures() {
     for call in [SystemCall::Read, SystemCall::Write] {
         for errno in [ENOBUFS, ENOMEM, EINTR] {
             let injector = no_faults();
@@ -91,19 +108,29 @@
 
             for key in 1..=2 {
                 let response = fetch_object(&mut client, READ_CLASS, &object_key(key));
-                assert_eq!(response.status, 200, "{call:?}: {errno}");
+                assert_eq!(response.status, 200, "{call:?} failed with error {errno}");
             }
 
-            assert_eq!(injector.injected()[&call], 5, "{call:?} was not disturbed");
-            assert_eq!(proxy.caches[0].accepted_connections(), 1, "{call:?}");
+            assert_eq!(
+                injector.injected()[&call],
+                5,
+                "not all faults were injected into {call:?}"
+            );
+            assert_eq!(
+                proxy.caches[0].accepted_connections(),
+                1,
+                "the connection was replaced after {call:?} failed with error {errno}"
+            );
             proxy.shut_down();
         }
     }
 }
 
+/// An update of what the poller watches may fail for want of memory. Without a retry, the
+/// connection would never be read or written again.
 #[test]
-fn a_connection_that_can_not_be_watched_for_a_moment_is_not_lost() {
-    // More than the sockets hold at once, so that the proxy has to wait until it can write.
+fn a_connection_that_temporarily_cannot_be_watched_is_not_lost() {
+    // More than the socket buffers hold, so that the proxy has to wait until it can write.
     const BODY_BYTES: usize = 480_000;
     const REQUESTS: u16 = 8;
     for call in [SystemCall::EpollAdd, SystemCall::EpollModify] {
@@ -131,20 +158,29 @@
 
         statuses.sort_unstable();
         let all_served: Vec<_> = (1..=REQUESTS).map(|id| (id, 200)).collect();
-        assert_eq!(statuses, all_served, "{call:?}");
-        assert_eq!(injector.injected()[&call], 3, "{call:?} was not disturbed");
+        assert_eq!(
+            statuses, all_served,
+            "not all requests were served after {call:?} failed"
+        );
+        assert_eq!(
+            injector.injected()[&call],
+            3,
+            "not all faults were injected into {call:?}"
+        );
         drop(client);
         proxy.shut_down();
     }
 }
 
+/// After a pause, watching the listener again may fail. Without a retry, the proxy would never
+/// accept another client.
 #[test]
-fn accepting_goes_on_although_the_listener_could_not_be_watched_again() {
+fn accepting_resumes_although_watching_the_listener_again_failed_once() {
     let injector = no_faults();
     let proxy = ProxyFixture::builder().faults(&injector).start();
     proxy.event_bus.wait_for_subscription(0);
-    // Accepting pauses, which takes one change of what is watched; the one that ends the pause
-    // fails.
+    // Accepting pauses, for which the poller is called once to stop watching the listener. The
+    // second call, which ends the pause, fails.
     injector.add(Fault::next(1, SystemCall::Accept, Effect::Error(ENFILE)));
     injector.add(Fault {
         skip: 1,
@@ -160,16 +196,18 @@
     proxy.shut_down();
 }
 
+/// With a wrong wall clock, a purge could count as older than it is. The age limit sent to cache
+/// servers would then admit copies from before the purge.
 #[test]
-fn a_clock_that_is_wrong_at_the_start_lets_no_purged_copy_pass() {
-    const HOUR_MS: i64 = 3_600_000;
-    const PURGED_BEFORE_MS: u64 = 2_000;
-    for by_ms in [HOUR_MS, -HOUR_MS, 5_000, -5_000, 0] {
+fn a_clock_that_is_wrong_at_the_start_admits_no_purged_copy() {
+    const ONE_HOUR_MS: i64 = 3_600_000;
+    const PURGE_AGE_MS: u64 = 2_000;
+    for by_ms in [ONE_HOUR_MS, -ONE_HOUR_MS, 5_000, -5_000, 0] {
         let injector = FaultInjector::new(FaultPlan {
             clock_steps: vec![ClockStep { at_ms: 0, by_ms }],
             ..FaultPlan::default()
         });
-        let purged_at_ms = unix_ms() - PURGED_BEFORE_MS;
+        let purged_at_ms = unix_ms() - PURGE_AGE_MS;
         let proxy = ProxyFixture::builder()
             .faults(&injector)
             .config(|config| {
@@ -181,7 +219,7 @@
 
         for key in [1, 2, 1] {
             let response = fetch_object(&mut client, READ_CLASS, &object_key(key));
-            assert_eq!(response.status, 200, "off by {by_ms} ms");
+            assert_eq!(response.status, 200, "the clock is off by {by_ms} ms");
         }
 
         for command in proxy.caches[0].received() {
@@ -193,15 +231,17 @@
             let since_purge_ms = command.received_at_ms - purged_at_ms;
             assert!(
                 max_age_ms <= since_purge_ms,
-                "off by {by_ms} ms: maxage {max_age_ms}, {since_purge_ms} ms after the purge"
+                "clock off by {by_ms} ms: maxage {max_age_ms}, {since_purge_ms} ms after the purge"
             );
         }
         proxy.shut_down();
     }
 }
 
+/// A connection that this machine cannot watch misses its connect timeout even if the server has
+/// accepted it. This must not count as a failure of the server.
 #[test]
-fn a_connection_that_can_not_be_watched_in_time_blames_no_server() {
+fn a_connection_that_cannot_be_watched_in_time_does_not_count_against_the_server() {
     const CONNECT_TIMEOUT_US: u64 = 15_000;
     let injector = no_faults();
     let proxy = ProxyFixture::builder()
@@ -211,7 +251,7 @@
     proxy.event_bus.wait_for_subscription(0);
     let mut client = proxy.connect();
     assert_eq!(health_status(&mut client), 200);
-    // The connection to the cache server can't be watched until its time is over.
+    // The connection to the cache server cannot be watched until its connect timeout has expired.
     injector.add(Fault::next(4, SystemCall::EpollAdd, Effect::Error(ENOMEM)));
 
     let response = fetch_object(&mut client, READ_CLASS, &object_key(1));
--- a/crates/proxy/tests/upstream_connections.rs
+++ b/crates/proxy/tests/upstream_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to cache servers: how attempts share them, and what their end means for the attempts
-//! on them.
+//! Connections to cache servers: how attempts share them, and how attempts end when a connection
+//! closes.
 
 use edge_testkit::fake_cache::Behavior;
 use edge_testkit::fake_event_bus::{cache_entry, server_state};
@@ -12,8 +12,10 @@
 use edge_testkit::scripted_server::{ScriptedConnection, ScriptedServer};
 use serde_json::json;
 
-// Tests with a scripted server send writes: no policy cancels one because it takes long.
+// Tests with a scripted server send writes, because no policy cancels a slow write.
 
+/// A new server may take over the address of one that is gone. Connections to the old server must
+/// not carry attempts for the new one.
 #[test]
 fn server_that_takes_over_an_address_gets_connections_of_its_own() {
     let proxy = ProxyFixture::start();
@@ -34,6 +36,8 @@
     proxy.shut_down();
 }
 
+/// Closing the connections to a removed server at once would lose the attempts in flight on them.
+/// Keeping them open afterwards would waste slots.
 #[test]
 fn connections_to_a_removed_server_close_once_nothing_is_open_on_them() {
     const RESPONSE_DELAY_MS: u64 = 250;
@@ -59,13 +63,15 @@
         assert_eq!(
             next_response(&mut client).1.status,
             200,
-            "requests in flight are answered"
+            "a request in flight was not answered after its server had been removed"
         );
     }
     while removed.open_connections() > 0 {}
     proxy.shut_down();
 }
 
+/// An answer that cannot be parsed ends all attempts in flight on its connection. With few attempts
+/// on each connection, few are lost at once.
 #[test]
 fn concurrent_attempts_are_spread_over_connections() {
     const RESPONSE_DELAY_MS: u64 = 100;
@@ -96,13 +102,15 @@
     let connections = cache.accepted_connections();
     assert!(
         (3..=8).contains(&connections),
-        "one that breaks must fail two or three attempts, not all: {connections}"
+        "{connections} connections: one that breaks must fail two or three attempts, not all"
     );
     proxy.shut_down();
 }
 
+/// A response and the reset of its connection may arrive together. The response must be read first,
+/// or a write that has succeeded would be sent again.
 #[test]
-fn response_counts_although_its_connection_is_reset_under_the_next_request() {
+fn response_counts_although_its_connection_is_reset_when_the_next_request_arrives() {
     let server = ScriptedServer::start().unwrap();
     let mut proxy = ProxyFixture::builder().scripted_server(&server).start();
     let mut first_client = proxy.connect();
@@ -113,7 +121,7 @@
     let mut connection = server.accept().unwrap();
     let first_fetch = connection.next_command().unwrap();
 
-    // The proxy sees the second request, the response and the reset at once.
+    // The proxy notices the second request, the response and the reset in the same turn.
     let paused = proxy.pause();
     second_client
         .request_object(1, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
@@ -127,7 +135,7 @@
     assert_eq!(
         second_fetch.object_key(),
         Some(object_key(2).as_str()),
-        "only the second request is sent on another connection"
+        "the first request was sent again although its response had arrived"
     );
     assert_eq!(next_response(&mut first_client).1.status, 200);
     connection.answer_ok(&second_fetch.request_id).unwrap();
@@ -135,6 +143,8 @@
     proxy.shut_down();
 }
 
+/// The server may have closed an idle connection without the proxy having noticed. A request with
+/// side effects that is sent on it is lost, because it may not be repeated.
 #[test]
 fn closed_connection_is_not_reused_for_a_request_that_must_not_be_repeated() {
     let server = ScriptedServer::start().unwrap();
@@ -153,7 +163,7 @@
     let mut connection = server.accept().unwrap();
     assert_eq!(serve_one(&mut client, &mut connection), 200);
 
-    // The proxy sees the second request and the end of the connection at once.
+    // The proxy notices the second request and the end of the connection in the same turn.
     let paused = proxy.pause();
     client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
@@ -165,15 +175,17 @@
     assert_eq!(
         serve_one(&mut client, &mut connection),
         200,
-        "nothing of the request was sent on the closed connection"
+        "the request was sent on the closed connection, so that it could not be repeated"
     );
     proxy.shut_down();
 }
 
+/// A connection may stay unresponsive for ever without being reported as broken. At the connection
+/// limit of its server it must be replaced, or the server could not be used.
 #[test]
 fn unresponsive_connections_do_not_block_their_server() {
     let server = ScriptedServer::start().unwrap();
-    // The server has one connection, and any silence makes it an unresponsive one.
+    // The server may have one connection, which counts as unresponsive after any silence.
     let proxy = ProxyFixture::builder()
         .scripted_server(&server)
         .limits(|limits| {
@@ -185,14 +197,17 @@
     client
         .request_object(1, WRITE_CLASS, &object_key(1), SHORT_BUDGET_MS)
         .unwrap();
-    let mut unresponsive = server.accept().unwrap();
-    unresponsive.next_command().unwrap();
+    let mut unresponsive_connection = server.accept().unwrap();
+    unresponsive_connection.next_command().unwrap();
     assert_eq!(
         next_response(&mut client).1.status,
         503,
         "its budget is spent"
     );
-    assert_eq!(unresponsive.next_command().unwrap().name, "abort");
+    assert_eq!(
+        unresponsive_connection.next_command().unwrap().name,
+        "abort"
+    );
 
     client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
@@ -202,14 +217,16 @@
 
     assert_eq!(next_response(&mut client).1.status, 200);
     assert!(
-        unresponsive.next_command().is_err(),
-        "the unresponsive connection made room"
+        unresponsive_connection.next_command().is_err(),
+        "the unresponsive connection was not closed to make room"
     );
     proxy.shut_down();
 }
 
+/// A server may answer a request twice. The second answer must not count as the answer to a retry,
+/// which has the same request id.
 #[test]
-fn duplicate_response_is_not_taken_for_that_of_a_retry() {
+fn duplicate_response_does_not_count_as_that_of_a_retry() {
     let server = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder().scripted_server(&server).start();
     let mut client = proxy.connect();
@@ -222,8 +239,8 @@
         .answer(&fetch.request_id, "503", "-", "")
         .unwrap();
 
-    // The attempt never ran, so there is a retry. On the same connection nothing would tell the
-    // duplicate of the first response from the response to the retry.
+    // The attempt never ran, so there is a retry. On the same connection, a duplicate of the first
+    // response could not be distinguished from the response to the retry.
     let mut retry_connection = server.accept().unwrap();
     let retry = retry_connection.next_command().unwrap();
     assert_eq!(retry.name, "fetch");
@@ -232,7 +249,7 @@
         .answer(&fetch.request_id, "503", "-", "")
         .unwrap();
 
-    // A response behind the duplicate on its connection shows that the duplicate was read.
+    // The next response on this connection shows that the duplicate before it was read.
     client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
         .unwrap();
@@ -248,10 +265,12 @@
     proxy.shut_down();
 }
 
+/// Responses on a connection arrive one after the other. One that never ends would block the
+/// responses to all later requests on its connection.
 #[test]
 fn endless_response_fails_its_own_request_and_no_later_one() {
     let server = ScriptedServer::start().unwrap();
-    // The response never pauses for long enough to be taken for one that has stopped short.
+    // The response never pauses for long enough to count as incomplete.
     let proxy = ProxyFixture::builder()
         .scripted_server(&server)
         .limits(|limits| {
@@ -263,21 +282,23 @@
     client
         .request_object(1, WRITE_CLASS, &object_key(1), SHORT_BUDGET_MS)
         .unwrap();
-    let mut endless = server.accept().unwrap();
-    let fetch = endless.next_command().unwrap();
+    let mut endless_connection = server.accept().unwrap();
+    let fetch = endless_connection.next_command().unwrap();
     let start_of_response = format!(
         "*4\r\n$16\r\n{}\r\n$3\r\n200\r\n$1\r\n-\r\n$9000\r\n...",
         fetch.request_id
     );
-    endless.send(start_of_response.as_bytes()).unwrap();
+    endless_connection
+        .send(start_of_response.as_bytes())
+        .unwrap();
     assert_eq!(
         next_response(&mut client).1.status,
         503,
         "its budget is spent"
     );
-    endless
-        .wait_until_closed()
-        .expect("a response that nobody waits for costs its connection");
+    endless_connection.wait_until_closed().expect(
+        "the connection was not closed although its endless response has no waiting request",
+    );
 
     client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
@@ -286,11 +307,11 @@
     connection.serve_next().unwrap();
     assert_eq!(next_response(&mut client).1.status, 200);
 
-    // An unfinished response to a request that was never sent is not waited for either.
+    // The proxy does not wait for the rest of a response to a request that was never sent either.
     let response_to_nothing = b"*4\r\n$16\r\nffffffffffffffff\r\n$3\r\n200\r\n";
     connection.send(response_to_nothing).unwrap();
-    connection
-        .wait_until_closed()
-        .expect("a response that blocks all behind it costs its connection");
+    connection.wait_until_closed().expect(
+        "the connection was not closed although its partial response blocks all later ones",
+    );
     proxy.shut_down();
 }
