--- a/crates/proxy/tests/late_reading.rs
+++ b/crates/proxy/tests/late_reading.rs
@@ -242,7 +242,7 @@
 
     assert!(
         waits.unwrap_or(0) < MAX_WAITS,
-        "{waits:?} waits of the event loop in 200 ms, so it spins"
+        "the event loop spins: {waits:?} waits in {OBSERVATION_TIME:?}"
     );
     connection.answer_ok(&fetch.request_id).unwrap();
     assert_eq!(next_status(&mut waiting_client), (1, 200));
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -11,6 +11,7 @@
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+/// Time at which each test starts, in microseconds.
 const NOW_US: u64 = 1_000_000_000;
 /// How long the client of a `read_request` waits for its answer.
 const CLIENT_BUDGET_US: u64 = 1_000_000;
@@ -376,7 +377,7 @@
     assert_eq!(
         admit(&mut request_table, 2, same_id.clone()),
         Err(AdmissionError::DuplicateId),
-        "a cache server would treat two requests with one id as the same request"
+        "an id was admitted twice, but a cache server would treat both requests as one"
     );
 
     request_table.attempt_ended(NOW_US, attempt, served());
@@ -444,7 +445,7 @@
     assert!(!request_table.accepts_work(server_id("a")));
     assert!(
         request_table.address_of(server_id("a")).is_some(),
-        "the address is needed until the server has finished its attempts"
+        "the address of a draining server, which still has to finish its attempts, was forgotten"
     );
 }
 
@@ -522,7 +523,7 @@
     assert_eq!(
         spec.max_age_us,
         Some(1),
-        "the age limit relies on a timestamp, but the clock may be ahead of it"
+        "the age limit relies on a timestamp although the clock may be ahead of it"
     );
 }
 
--- a/crates/proxy/tests/scenario.rs
+++ b/crates/proxy/tests/scenario.rs
@@ -15,7 +15,7 @@
 /// violation of a rule fails the test.
 #[test]
 fn proxy_violates_no_rule() {
-    let report = run_scenario(proxy_program(), None).expect("the scenario runs");
+    let report = run_scenario(proxy_program(), None).expect("the scenario was not completed");
     assert_eq!(report.violations, [], "{report}");
     assert_eq!(report.completed_cases.len(), CASES, "{report}");
 }
@@ -28,7 +28,8 @@
         (InjectedFault::StaleCopies, Rule::PurgeTakesEffect),
         (InjectedFault::UnannouncedDrain, Rule::DrainTakesEffect),
     ] {
-        let report = run_scenario(proxy_program(), Some(fault)).expect("the scenario runs");
+        let report =
+            run_scenario(proxy_program(), Some(fault)).expect("the scenario was not completed");
         assert!(
             report.violations.len() > 1,
             "only the first violation was reported, or none: {report}"
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -60,7 +60,7 @@
 }
 
 /// Only a connection that was never established shows that its server is unreachable. Without the
-/// distinction, a server that closes an idle connection would count as down.
+/// distinction, a server that closes a new connection early would count as down.
 #[test]
 fn a_connection_that_came_up_and_closed_does_not_report_its_server_as_unreachable() {
     let mut fixture = Fixture::connecting();
@@ -362,7 +362,7 @@
 /// queued in time may become writable too late, when its connection is established at last.
 #[test]
 fn a_retry_that_waited_for_its_connection_does_not_begin_after_its_window() {
-    // The retry window of the settings is 3 s, and the client waits for longer than that.
+    // The deduplication window of the settings is 3 s, and the client waits for longer than that.
     for (waited_us, is_sent) in [(2_900_000, true), (3_000_000, false)] {
         let mut fixture = Fixture::new("hub", "origin", true);
         let first = fixture.send_request(post_request("01"));
