--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,5 +1,5 @@
-//! The configuration as it stands in JSON: one struct for each object. A key may be absent or null
-//! if its type is an `Option`. Keys that are not listed are ignored.
+//! The JSON form of the configuration files, with one struct for each object. A key may be absent
+//! or null if its type is an `Option`. Keys that are not listed are ignored.
 
 use edge_settings::json::{Object, WholeNumber};
 use serde::de::IgnoredAny;
@@ -13,14 +13,14 @@
 pub(super) struct ConfigDocument {
     pub name: Option<String>,
     pub listen: SocketAddr,
-    /// A hexadecimal number of 64 bits.
+    /// A hexadecimal 64-bit number.
     pub seed: Option<String>,
     pub limits: Option<Object<MachineLimits>>,
     pub bus: Option<SocketAddr>,
     pub known: Option<Object<KnownEventsDocument>>,
     #[expect(
         dead_code,
-        reason = "checked to be present; edge_settings reads it where it stands"
+        reason = "only checked to be present; edge_settings reads it from the JSON value"
     )]
     pub settings: IgnoredAny,
     pub peer_listen: Option<SocketAddr>,
@@ -30,32 +30,32 @@
 /// `limits`: the size of the machine.
 #[derive(Default, Deserialize)]
 pub(super) struct MachineLimits {
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: Option<WholeNumber>,
     pub memory_mb: Option<WholeNumber>,
 }
 
-/// `known`: the event bus's events up to the start.
+/// `known`: the events of the event bus from before the start of the proxy.
 #[derive(Default, Deserialize)]
 pub(super) struct KnownEventsDocument {
     /// Number of the last event.
     pub offset: Option<WholeNumber>,
     #[expect(
         dead_code,
-        reason = "checked to be a list; event_bus::read_event reads its events where they stand"
+        reason = "only checked to be a list; read_event reads each event from the JSON value"
     )]
     pub batch: Option<Vec<IgnoredAny>>,
 }
 
-/// The deployment's own file: `deploy/interconnect.json`.
+/// The deployment-specific file, by default `deploy/interconnect.json`.
 #[derive(Deserialize)]
 pub(super) struct InterconnectDocument {
-    /// An [`InterconnectListen`], and where that has an address, an [`InterconnectFields`].
+    /// Read as an [`InterconnectListen`], and as an [`InterconnectFields`] if that has an address.
     pub cdni: Option<Value>,
     pub consul: Option<Object<ConsulFields>>,
 }
 
-/// The key of `cdni` that turns the interconnect on.
+/// The key of `cdni` that enables the interconnect.
 #[derive(Deserialize)]
 pub(super) struct InterconnectListen {
     pub listen: Option<SocketAddr>,
@@ -66,7 +66,7 @@
 pub(super) struct InterconnectFields {
     /// This network's CDN Provider ID.
     pub provider: String,
-    /// Base of this network's URLs.
+    /// Base URL of this network.
     pub base: String,
     /// IPv4 networks, such as `127.0.0.0/8`.
     pub footprint: Option<Vec<String>>,
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors in a configuration.
 
 use crate::discovery::event_bus::EventReadError;
 use crate::sys::errors;
@@ -7,26 +7,27 @@
 use edge_settings::SettingsReadError;
 use std::io;
 
-/// Why a configuration cannot be used. Names the file, where there is one, and the key at fault.
+/// Why a configuration cannot be used. The message names the file, if the configuration comes from
+/// one, and the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment does not say where the configuration is.
-    #[error("the variable ROUTER_CONFIG names no file")]
+    /// The environment does not name a configuration file.
+    #[error("the environment variable ROUTER_CONFIG is not set to the path of a file")]
     NoFile,
     /// A file cannot be read.
-    #[error("{path}: {source}")]
+    #[error("{path}: cannot read the file: {source}")]
     Unreadable {
         /// Path of the file.
         path: String,
-        /// The error of the read.
+        /// The error of opening or reading the file.
         source: io::Error,
     },
     /// A file is not JSON.
-    #[error("{path}: not JSON: {source}")]
+    #[error("{path}: invalid JSON: {source}")]
     NotJson {
         /// Path of the file.
         path: String,
-        /// What is wrong with it, and where.
+        /// The syntax error and its position.
         source: serde_json::Error,
     },
     /// The content of a file cannot be used.
@@ -34,13 +35,14 @@
     InFile {
         /// Path of the file.
         path: String,
-        /// What is wrong with its content.
+        /// The error in the content.
         source: Box<ConfigError>,
     },
     /// A key is missing or holds a value of the wrong type.
     #[error(transparent)]
     Field(#[from] ReadError),
-    /// The same, within the object that says how this network presents itself to peer CDNs.
+    /// A key of `cdni`, the configuration of the interconnect, is missing or holds a value of the
+    /// wrong type.
     #[error("cdni: {0}")]
     Interconnect(ReadError),
     /// The value of a key has the right type but cannot be used.
@@ -48,33 +50,34 @@
     Invalid {
         /// Path of the key.
         key: String,
-        /// What it must be.
+        /// The values that are valid.
         expected: &'static str,
     },
-    /// An event up to the start cannot be read.
+    /// An event from before the start of the proxy cannot be read.
     #[error("known: event {index} of 'batch': {source}")]
     KnownEvent {
         /// Index in the list of events.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the event.
         source: EventReadError,
     },
     /// The settings cannot be read.
     #[error("settings: {0}")]
     SettingsRead(#[from] SettingsReadError),
-    /// No router can work with the settings.
+    /// The settings are not valid for the routing module.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
 impl ConfigError {
-    /// Whether the same file may be readable in a moment: it could not be opened or read for now, or
-    /// ends in the middle, as one does that is being written.
-    pub fn may_pass(&self) -> bool {
+    /// Returns whether reading the same file again may succeed shortly after. This is so if the
+    /// file could not be opened or read temporarily, or if it is truncated because it is being
+    /// written.
+    pub fn is_transient(&self) -> bool {
         match self {
-            ConfigError::Unreadable { source, .. } => errors::may_pass_at_start(source),
+            ConfigError::Unreadable { source, .. } => errors::is_transient_at_startup(source),
             ConfigError::NotJson { source, .. } => source.is_eof(),
-            ConfigError::InFile { source, .. } => source.may_pass(),
+            ConfigError::InFile { source, .. } => source.is_transient(),
             _ => false,
         }
     }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of a proxy: where it is read from, its defaults, and its validation. Every
-//! error names the key at fault.
+//! The configuration of a proxy: the files and environment variables that it is read from, its
+//! defaults, and its validation. Errors name the key at fault.
 
 mod document;
 mod error;
@@ -21,56 +21,56 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Reads the configuration, at the start and again on SIGHUP.
-pub type Source = Box<dyn Fn() -> Result<Config, ConfigError>>;
+/// A function that reads the configuration, which the proxy calls on SIGHUP.
+pub type ConfigSource = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
 /// The configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the proxy, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the proxy listens for clients.
     pub listen: SocketAddr,
     /// Seed for random numbers.
     pub seed: u64,
-    /// The bounds that follow from the size of the machine.
+    /// The limits that follow from the size of the machine and the settings.
     pub limits: Limits,
-    /// The event bus; none: the endpoint list comes from elsewhere.
+    /// Address of the event bus. None if the endpoint list has another source.
     pub event_bus: Option<SocketAddr>,
-    /// The events of the event bus before the start.
+    /// The events of the event bus from before the start of the proxy.
     pub known_events: KnownEvents,
     /// The settings of the routing module.
     pub settings: Settings,
-    /// Gossip of purges between the proxies of one installation; none: it is off.
+    /// Purge gossip between the proxies of an installation. None if it is disabled.
     pub purge_gossip: Option<PurgeGossipConfig>,
-    /// The interconnect; none: it is off.
+    /// The interconnect with peer CDNs. None if it is disabled.
     pub interconnect: Option<InterconnectConfig>,
-    /// Consul as the source of the endpoint list; none: the list comes from the event bus.
+    /// Consul as the source of the endpoint list. None if the list comes from the event bus.
     pub consul: Option<ConsulConfig>,
 }
 
-/// The events of the event bus before the start.
+/// The events of the event bus from before the start of the proxy.
 #[derive(Clone, Debug, Default)]
 pub struct KnownEvents {
-    /// Number of the last one.
+    /// Number of the last event.
     pub last_offset: u64,
-    /// The events, in their order.
+    /// The events, in the order of their numbers.
     pub events: Vec<EventBusMessage>,
 }
 
-/// The configuration of the gossip of purges.
+/// The configuration of purge gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurgeGossipConfig {
-    /// Where datagrams are received.
+    /// The address on which gossip datagrams are received.
     pub listen: SocketAddr,
-    /// All proxies of the installation; may contain this one.
+    /// The addresses of all proxies of the installation. This proxy may be among them.
     pub peers: Vec<SocketAddr>,
 }
 
 /// The configuration of Consul as the source of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConsulConfig {
-    /// Where its HTTP API listens.
+    /// The address of Consul's HTTP API.
     pub address: SocketAddr,
     /// Name of the service whose instances are the cache servers.
     pub service: String,
@@ -79,44 +79,48 @@
 /// The configuration of the interconnect with peer CDNs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InterconnectConfig {
-    /// Where peer CDNs and redirected clients connect.
+    /// The address on which the proxy listens for peer CDNs and redirected clients.
     pub listen: SocketAddr,
-    /// How this network presents itself.
+    /// The identity that this network presents to peer CDNs.
     pub identity: Identity,
-    /// Path of the purge log; none: purges last as long as the process.
-    pub purges: Option<PathBuf>,
+    /// Path of the purge log. Without one, permanent purges last only as long as the process.
+    pub purge_log: Option<PathBuf>,
 }
 
-const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-const INTERCONNECT_VARIABLE: &str = "EDGE_PROXY_INTERCONNECT";
-const DEFAULT_INTERCONNECT_FILE: &str = "deploy/interconnect.json";
-/// Keys of the configuration, and the variables that are read where the file lacks them.
-const KEY_VARIABLES: [(&str, &str); 2] = [("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN")];
+const CONFIG_PATH_VARIABLE: &str = "ROUTER_CONFIG";
+const INTERCONNECT_PATH_VARIABLE: &str = "EDGE_PROXY_INTERCONNECT";
+const DEFAULT_INTERCONNECT_PATH: &str = "deploy/interconnect.json";
+/// Keys of the configuration, each with the environment variable that is used if the file lacks the
+/// key.
+const FALLBACK_VARIABLES: [(&str, &str); 2] =
+    [("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN")];
 
 const DEFAULT_NAME: &str = "edge-proxy";
 const DEFAULT_SEED: &str = "0";
-const DEFAULT_SOCKETS: u64 = 1024;
+const DEFAULT_FILE_DESCRIPTORS: u64 = 1024;
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_CONSUL_SERVICE: &str = "pop-cache";
 const DEFAULT_TRIGGERS_PATH: &str = "/cdni/triggers";
 
-/// Cache servers complete a purge this much later than the settings say, in microseconds: every
-/// time limit is longer on real sockets. Until then, requests must limit the age of a copy.
+/// Cache servers may complete a purge this many microseconds later than the settings say, because
+/// everything takes longer on real sockets. Until a purge is complete, requests must limit the age
+/// of a copy.
 const PURGE_COMPLETION_SLACK_US: u64 = 50_000;
-/// The longest retry advice for a full request table, in microseconds.
+/// Upper bound of the Retry-After that is sent if the request table is full, in microseconds.
 const MAX_RETRY_AFTER_US: u64 = 200_000;
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names; `ROUTER_NAME` and `ROUTER_LISTEN` stand in for
-    /// keys that it lacks. The interconnect and Consul are configured in a file of the deployment's
-    /// own, `deploy/interconnect.json` unless `EDGE_PROXY_INTERCONNECT` names another.
+    /// Reads the file that `ROUTER_CONFIG` names. If it lacks the keys `name` or `listen`, uses the
+    /// environment variables `ROUTER_NAME` and `ROUTER_LISTEN`. The interconnect and Consul are
+    /// configured in a deployment-specific file: the one that `EDGE_PROXY_INTERCONNECT` names, or
+    /// otherwise `deploy/interconnect.json` if it exists.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::NoFile)?;
+        let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::NoFile)?;
         let mut document = read_file(&path)?;
-        add_variables(&mut document);
+        apply_fallback_variables(&mut document);
         let mut config = Self::from_json(&document).map_err(in_file(&path))?;
-        let named = std::env::var(INTERCONNECT_VARIABLE).ok();
-        let path = named.as_deref().unwrap_or(DEFAULT_INTERCONNECT_FILE);
+        let named = std::env::var(INTERCONNECT_PATH_VARIABLE).ok();
+        let path = named.as_deref().unwrap_or(DEFAULT_INTERCONNECT_PATH);
         if named.is_some() || Path::new(path).exists() {
             config
                 .apply_interconnect(&read_file(path)?)
@@ -125,7 +129,7 @@
         Ok(config)
     }
 
-    /// Reads a configuration.
+    /// Reads a configuration from its JSON form.
     pub fn from_json(value: &Value) -> Result<Self, ConfigError> {
         let Object(document): Object<ConfigDocument> = read(value)?;
         let settings = read_settings(&value["settings"])?;
@@ -136,9 +140,9 @@
             name: document.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
             listen: document.listen,
             seed: read_seed(document.seed.as_deref().unwrap_or(DEFAULT_SEED))?,
-            limits: limits(&machine, &settings)?,
+            limits: read_limits(&machine, &settings)?,
             event_bus: document.bus,
-            known_events: known_events(&known, &value["known"]["batch"])?,
+            known_events: read_known_events(&known, &value["known"]["batch"])?,
             settings,
             purge_gossip: document
                 .peer_listen
@@ -148,12 +152,12 @@
         })
     }
 
-    /// Adds what the deployment's own file says of the interconnect and of Consul. Each is off
-    /// where the file says nothing of it, or gives no address.
+    /// Adds the configuration of the interconnect and of Consul from the deployment-specific file.
+    /// Each is disabled unless the file gives an address for it.
     pub fn apply_interconnect(&mut self, value: &Value) -> Result<(), ConfigError> {
         let Object(document): Object<InterconnectDocument> = read(value)?;
         if let Some(fields) = document.cdni {
-            self.interconnect = interconnect(&fields, &self.settings.classes)?;
+            self.interconnect = read_interconnect(&fields, &self.settings.classes)?;
         }
         if let Some(Object(consul)) = document.consul {
             let service = consul.service;
@@ -165,10 +169,10 @@
         Ok(())
     }
 
-    /// The keys in which a new configuration differs although a running proxy cannot follow it
-    /// there: sockets, tables and the routing module are built from them at the start. `seed` and
-    /// `known` differ with every start and mean nothing to a proxy that runs.
-    pub fn fixed_changes(&self, new: &Config) -> Vec<&'static str> {
+    /// Returns the changed keys of a new configuration that take effect only after a restart,
+    /// because sockets, tables and the routing module are built from them at startup. `seed` and
+    /// `known` are not among them. They differ at every start and do not affect a running proxy.
+    pub fn changes_requiring_restart(&self, new: &Config) -> Vec<&'static str> {
         let peer_listen = |config: &Config| Some(config.purge_gossip.as_ref()?.listen);
         let changes = [
             ("name", self.name != new.name),
@@ -187,7 +191,7 @@
     }
 }
 
-/// Reads a file as JSON.
+/// Reads a JSON file.
 fn read_file(path: &str) -> Result<Value, ConfigError> {
     let bytes = sys::read_file(Path::new(path)).map_err(|source| ConfigError::Unreadable {
         path: path.to_owned(),
@@ -199,6 +203,7 @@
     })
 }
 
+/// Returns a function that adds the path of the file to an error.
 fn in_file(path: &str) -> impl FnOnce(ConfigError) -> ConfigError + '_ {
     move |source| ConfigError::InFile {
         path: path.to_owned(),
@@ -206,12 +211,12 @@
     }
 }
 
-/// Fills keys that are absent or null from the environment.
-fn add_variables(document: &mut Value) {
+/// Sets keys that are absent or null to the values of their environment variables.
+fn apply_fallback_variables(document: &mut Value) {
     let Value::Object(fields) = document else {
         return;
     };
-    for (key, variable) in KEY_VARIABLES {
+    for (key, variable) in FALLBACK_VARIABLES {
         let is_absent = fields.get(key).is_none_or(Value::is_null);
         if let (true, Ok(value)) = (is_absent, std::env::var(variable)) {
             fields.insert(key.to_owned(), value.into());
@@ -219,6 +224,8 @@
     }
 }
 
+/// Reads the settings of the routing module and adds [`PURGE_COMPLETION_SLACK_US`] to the
+/// completion time of purges.
 fn read_settings(value: &Value) -> Result<Settings, ConfigError> {
     let mut settings = edge_settings::from_json(value)?;
     let completion_us = &mut settings.rules.purge_completion_us;
@@ -230,13 +237,14 @@
 fn read_seed(text: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(text, 16).map_err(|_| ConfigError::Invalid {
         key: "seed".to_owned(),
-        expected: "a hexadecimal number of 64 bits",
+        expected: "a hexadecimal 64-bit number",
     })
 }
 
-fn limits(machine: &MachineLimits, settings: &Settings) -> Result<Limits, ConfigError> {
-    let sockets = machine_limit("sockets", machine.sockets, DEFAULT_SOCKETS)?;
-    let memory_mb = machine_limit("memory_mb", machine.memory_mb, DEFAULT_MEMORY_MB)?;
+/// Derives the limits of the proxy from the size of the machine and from the settings.
+fn read_limits(machine: &MachineLimits, settings: &Settings) -> Result<Limits, ConfigError> {
+    let sockets = read_machine_limit("sockets", machine.sockets, DEFAULT_FILE_DESCRIPTORS)?;
+    let memory_mb = read_machine_limit("memory_mb", machine.memory_mb, DEFAULT_MEMORY_MB)?;
     let deadlines = settings.classes.iter().map(|class| class.deadline_us);
     Ok(Limits {
         retry_after_us: settings.max_retry_after_us.min(MAX_RETRY_AFTER_US),
@@ -245,7 +253,8 @@
     })
 }
 
-fn machine_limit(
+/// Reads a key of `limits`.
+fn read_machine_limit(
     key: &str,
     value: Option<WholeNumber>,
     default: u64,
@@ -255,11 +264,14 @@
         .filter(|value| *value > 0)
         .ok_or_else(|| ConfigError::Invalid {
             key: format!("limits.{key}"),
-            expected: "a whole number from 1",
+            expected: "a whole number of at least 1",
         })
 }
 
-fn known_events(document: &KnownEventsDocument, batch: &Value) -> Result<KnownEvents, ConfigError> {
+fn read_known_events(
+    document: &KnownEventsDocument,
+    batch: &Value,
+) -> Result<KnownEvents, ConfigError> {
     let events = batch
         .as_array()
         .into_iter()
@@ -275,8 +287,8 @@
     })
 }
 
-/// Reads `cdni`; none where it has no address to listen on. Other keys are then not checked.
-fn interconnect(
+/// Reads `cdni`. Returns None, without checking the other keys, if it has no address to listen on.
+fn read_interconnect(
     value: &Value,
     classes: &[Class],
 ) -> Result<Option<InterconnectConfig>, ConfigError> {
@@ -287,16 +299,16 @@
     let Object(fields): Object<InterconnectFields> =
         read(value).map_err(ConfigError::Interconnect)?;
     let peers = fields.peers.unwrap_or_default();
-    let readable = classes.iter().filter(|class| !class.is_write);
+    let read_classes = classes.iter().filter(|class| !class.is_write);
     let identity = Identity {
         provider: fields.provider,
         base_url: fields.base,
-        footprint: footprint(&fields.footprint.unwrap_or_default())?,
+        footprint: read_footprint(&fields.footprint.unwrap_or_default())?,
         peers: peers
             .into_iter()
-            .map(|Object(peer)| peer_cdn(peer))
+            .map(|Object(peer)| read_peer_cdn(peer))
             .collect(),
-        classes: readable
+        classes: read_classes
             .map(|class| ServedClass {
                 name: class.name.clone(),
                 client_timeout_us: class.deadline_us,
@@ -306,11 +318,11 @@
     Ok(Some(InterconnectConfig {
         listen,
         identity,
-        purges: fields.purge_log,
+        purge_log: fields.purge_log,
     }))
 }
 
-fn footprint(networks: &[String]) -> Result<Vec<Network>, ConfigError> {
+fn read_footprint(networks: &[String]) -> Result<Vec<Network>, ConfigError> {
     networks
         .iter()
         .enumerate()
@@ -323,7 +335,7 @@
         .collect()
 }
 
-fn peer_cdn(fields: PeerCdnFields) -> PeerCdn {
+fn read_peer_cdn(fields: PeerCdnFields) -> PeerCdn {
     PeerCdn {
         provider: fields.provider,
         address: fields.address,
--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -1,41 +1,42 @@
-//! How long to wait before a source of discovery is asked again: longer after each failure, and not
-//! at the same time as all the other proxies that lost it together.
+//! Exponential backoff with jitter for a discovery source that failed. Jitter keeps proxies that
+//! lost the source at the same time from reconnecting at the same time.
 
 use edge_routing::Micros;
 use fastrand::Rng;
 
-/// Doublings of the shortest wait, at most.
+/// The maximum number of times that the minimum delay is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Waits that grow with consecutive failures, with jitter.
+/// Delays that grow with the number of consecutive failures, with jitter.
 pub struct Backoff {
-    shortest_us: Micros,
-    longest_us: Micros,
+    min_delay_us: Micros,
+    max_delay_us: Micros,
     failures: u32,
     random: Rng,
 }
 
 impl Backoff {
-    /// Waits between half of `shortest_us` and `longest_us`. Equal seeds give equal waits.
-    pub fn new(shortest_us: Micros, longest_us: Micros, seed: u64) -> Self {
+    /// Creates a backoff with delays between half of `min_delay_us` and `max_delay_us`. Equal seeds
+    /// give equal delays.
+    pub fn new(min_delay_us: Micros, max_delay_us: Micros, seed: u64) -> Self {
         Backoff {
-            shortest_us,
-            longest_us,
+            min_delay_us,
+            max_delay_us,
             failures: 0,
             random: Rng::with_seed(seed),
         }
     }
 
-    /// How long to wait now, after one more failure.
-    pub fn next_us(&mut self) -> Micros {
-        let grown = self.shortest_us << self.failures.min(MAX_DOUBLINGS);
-        let longest = grown.min(self.longest_us);
+    /// Counts one more failure. Returns how long to wait before the next try.
+    pub fn next_delay_us(&mut self) -> Micros {
+        let doubled_us = self.min_delay_us << self.failures.min(MAX_DOUBLINGS);
+        let upper_bound_us = doubled_us.min(self.max_delay_us);
         self.failures = self.failures.saturating_add(1);
-        self.random.u64(longest / 2..=longest)
+        self.random.u64(upper_bound_us / 2..=upper_bound_us)
     }
 
-    /// The source has answered.
-    pub fn succeeded(&mut self) {
+    /// Resets the delays to the minimum, after the source has answered.
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/proxy/src/discovery/consul.rs
+++ b/crates/proxy/src/discovery/consul.rs
@@ -1,5 +1,6 @@
-//! Consul as a source of the endpoint list: blocking queries of its health API, and its catalogue
-//! for what is no longer registered. The two queries take turns; together they give one list.
+//! Consul as the source of the endpoint list. A blocking query of the health API returns the
+//! instances with their checks, and a query of the catalogue returns which instances are still
+//! registered. The two queries alternate, and each pair of responses produces one endpoint list.
 
 use crate::discovery::endpoint_entry::EndpointEntry;
 use crate::limits::Limits;
@@ -12,61 +13,62 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why a response of Consul cannot be used.
+/// Why a response from Consul cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsulError {
     /// The query ended without a response.
-    #[error("no answer")]
-    NoAnswer,
+    #[error("Consul did not respond")]
+    NoResponse,
     /// The status is not 200.
-    #[error("Consul answered '{status_line}'")]
+    #[error("Consul responded with '{status_line}' instead of status 200")]
     Status {
         /// The first line of the response.
         status_line: String,
     },
     /// The body is not JSON.
-    #[error("Consul's answer is not JSON: {0}")]
+    #[error("Consul's response is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The body is not a JSON list.
-    #[error("Consul's answer is not a list")]
+    #[error("Consul's response is not a list")]
     NotAList,
     /// An item of the list cannot be read.
-    #[error("Consul's answer: {0}")]
+    #[error("Consul's response has an invalid item: {0}")]
     Item(#[from] ReadError),
     /// A field of an instance is missing or cannot be read.
-    #[error("Consul's answer: instance '{instance}': field '{key}' is missing or invalid")]
+    #[error("Consul's response: instance '{instance}': field '{key}' is missing or invalid")]
     Field {
         /// The instance's id.
         instance: String,
-        /// The key.
+        /// The key of the field.
         key: &'static str,
     },
 }
 
-/// Which query is next.
+/// A kind of query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Query {
-    /// The instances with their checks; Consul answers once there is a change.
+    /// The instances with their checks. Consul responds when something has changed.
     Health,
-    /// All instances that are registered.
+    /// All registered instances.
     Catalogue,
 }
 
-/// The endpoint list as Consul has it, and which query is next.
+/// The endpoint list by the responses of Consul, and the next query.
 pub struct Consul {
     service: String,
-    /// How long a health query waits for a change, in seconds.
+    /// How long Consul may hold a health query until something changes, in seconds.
     wait_s: u64,
-    /// Consul's index of the last health response; 0: all of it is asked for.
+    /// Consul's index of the last health response. 0 if the next health query must return at once,
+    /// without waiting for a change.
     index: u64,
     next_query: Query,
-    /// Instances of the last health response.
-    healthy: Vec<ListedServer>,
-    /// The list that was last given out.
+    /// Instances of the last health response, including those that are draining.
+    instances: Vec<ListedServer>,
+    /// The endpoint list that was last returned.
     published: Vec<ListedServer>,
 }
 
-/// The client's side of one query: collects the response.
+/// The client side of one query. It collects the response.
 pub struct ConsulQuery {
     messages: MessageParser,
     head: Option<Head>,
@@ -74,7 +76,7 @@
 }
 
 impl ConsulQuery {
-    /// A query that begins now.
+    /// Creates a query whose response has not begun.
     pub fn new(limits: &Limits) -> Self {
         ConsulQuery {
             messages: MessageParser::responses(limits.line_bytes, limits.endpoint_list_bytes),
@@ -83,11 +85,15 @@
         }
     }
 
-    /// Reads bytes that have arrived. Gives the response once it is complete.
+    /// Reads bytes that have arrived. Returns the response once it is complete, and None before.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the response violates the protocol or exceeds a limit.
     pub fn read(&mut self, mut input: &[u8]) -> Result<Option<Message>, ProtocolError> {
         loop {
-            let (taken, piece) = self.messages.parse(input)?;
-            input = &input[taken..];
+            let (consumed, piece) = self.messages.parse(input)?;
+            input = &input[consumed..];
             match piece {
                 None => return Ok(None),
                 Some(Piece::Head(head)) => self.head = Some(head),
@@ -102,21 +108,21 @@
 }
 
 impl Consul {
-    /// A service whose instances are not known yet. Health queries wait for `wait_s` seconds at
-    /// most.
+    /// Creates the state for a service whose instances are not known yet. Health queries wait for
+    /// at most `wait_s` seconds.
     pub fn new(service: String, wait_s: u64) -> Self {
         Consul {
             service,
             wait_s,
             index: 0,
             next_query: Query::Health,
-            healthy: Vec::new(),
+            instances: Vec::new(),
             published: Vec::new(),
         }
     }
 
-    /// The HTTP request of the next query.
-    pub fn request(&self, host: &str) -> Vec<u8> {
+    /// Returns the HTTP request of the next query.
+    pub fn next_request(&self, host: &str) -> Vec<u8> {
         let Consul {
             service,
             wait_s,
@@ -134,14 +140,20 @@
             .into_bytes()
     }
 
-    /// A query has failed: the list stays as it is, and the next query asks for all of it.
-    pub fn failed(&mut self) {
+    /// Handles a failed query. The endpoint list stays unchanged, and the next query is a health
+    /// query that returns at once.
+    pub fn handle_failure(&mut self) {
         self.index = 0;
         self.next_query = Query::Health;
     }
 
-    /// Handles the response to the last query. Gives the whole list where it has changed.
-    pub fn response(
+    /// Handles the response to the last query. Returns the whole endpoint list if it has changed,
+    /// and None otherwise.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the response cannot be used.
+    pub fn handle_response(
         &mut self,
         message: &Message,
     ) -> Result<Option<Vec<ListedServer>>, ConsulError> {
@@ -169,10 +181,11 @@
             .header("x-consul-index")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        // An index that went back is that of a restored or new Consul: all must be read again.
+        // Consul's index decreases if Consul was restored or replaced. The next query must then
+        // return at once.
         self.index = if index < self.index { 0 } else { index };
         let instances: Vec<Object<HealthInstance>> = read(value)?;
-        self.healthy = instances
+        self.instances = instances
             .into_iter()
             .map(|Object(instance)| instance.into_listed_server())
             .collect::<Result<_, _>>()?;
@@ -192,15 +205,24 @@
             .collect();
         self.next_query = Query::Health;
         let is_registered = |server: &&ListedServer| registered.contains(&server.wire_id);
-        let mut servers: Vec<ListedServer> =
-            self.healthy.iter().filter(is_registered).cloned().collect();
-        // Still registered, yet no longer in the health response: its agent is about to leave.
-        let healthy_ids: BTreeSet<&str> = self.healthy.iter().map(|s| s.wire_id.as_str()).collect();
+        let mut servers: Vec<ListedServer> = self
+            .instances
+            .iter()
+            .filter(is_registered)
+            .cloned()
+            .collect();
+        // An instance that is still registered but no longer in the health response is draining,
+        // because its agent is about to leave.
+        let instance_ids: BTreeSet<&str> = self
+            .instances
+            .iter()
+            .map(|server| server.wire_id.as_str())
+            .collect();
         let leaving = self
             .published
             .iter()
             .filter(is_registered)
-            .filter(|server| !healthy_ids.contains(server.wire_id.as_str()));
+            .filter(|server| !instance_ids.contains(server.wire_id.as_str()));
         servers.extend(leaving.cloned().map(|mut server| {
             server.endpoint.state = EndpointState::Draining;
             server
@@ -235,12 +257,12 @@
 struct Service {
     #[serde(rename = "ID")]
     id: String,
-    /// Empty: that of the node.
+    /// The address of the instance. If it is absent or empty, the address of the node is used.
     #[serde(rename = "Address")]
     address: Option<Tolerant<String>>,
     #[serde(rename = "Port")]
     port: Option<WholeNumber>,
-    /// Optional keys of an [`EndpointEntry`], all of them as text.
+    /// The optional keys of an [`EndpointEntry`], with all values as text.
     #[serde(rename = "Meta")]
     metadata: Option<BTreeMap<String, String>>,
 }
@@ -294,22 +316,24 @@
     }
 }
 
-/// Whether a check asks for no new requests. One that cannot be read does not.
+/// Returns whether a check says that the instance must get no new requests. A check that cannot be
+/// read does not.
 fn is_critical(check: &Tolerant<Object<Check>>) -> bool {
     check
         .as_valid()
         .is_some_and(|Object(check)| matches!(check.status.as_str(), "critical" | "maintenance"))
 }
 
-/// The metadata of a service. An error is the key at fault.
+/// The metadata of a service. Its methods return the key at fault as the error.
 struct Metadata(BTreeMap<String, String>);
 
 impl Metadata {
+    /// Returns the text of a key, or None if the key is absent.
     fn text(&self, key: &str) -> Option<String> {
         self.0.get(key).cloned()
     }
 
-    /// A number; one that is not finite counts as absent.
+    /// Returns the number of a key, or None if the key is absent or its number is not finite.
     fn number(&self, key: &'static str) -> Result<Option<f64>, &'static str> {
         let Some(text) = self.0.get(key) else {
             return Ok(None);
@@ -318,6 +342,8 @@
         Ok(Some(value).filter(|value| value.is_finite()))
     }
 
+    /// Returns the whole number of a key, or None under the same conditions as
+    /// [`number`](Self::number).
     fn whole_number(&self, key: &'static str) -> Result<Option<WholeNumber>, &'static str> {
         match self.number(key)? {
             None => Ok(None),
--- a/crates/proxy/src/discovery/endpoint_entry.rs
+++ b/crates/proxy/src/discovery/endpoint_entry.rs
@@ -1,5 +1,5 @@
-//! An entry of the endpoint list. The event bus writes entries as JSON, and Consul's metadata have
-//! the same key names.
+//! An entry of the endpoint list. The event bus sends entries as JSON, and Consul's service
+//! metadata uses the same key names.
 
 use crate::request_table::{server_id, ListedServer};
 use edge_routing::{Endpoint, EndpointState};
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
-/// An entry as it stands in JSON.
+/// An entry of the endpoint list in its JSON form.
 #[derive(Debug, Deserialize)]
 pub(super) struct EndpointEntry {
-    /// The server's id, in text.
+    /// The server's id, as text.
     #[serde(rename = "uid")]
     pub wire_id: String,
-    /// Where the server listens.
+    /// The address on which the server listens.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
     /// `ready`, `draining` or `gone`.
@@ -28,7 +28,7 @@
     pub kind: Option<String>,
     #[serde(rename = "capacity_hint")]
     pub weight: Option<f64>,
-    /// Unix time of the last start, in milliseconds; 0: long ago.
+    /// Unix time of the server's last start, in milliseconds. 0 if the start was long ago.
     #[serde(rename = "boot_ms")]
     pub started_ms: Option<WholeNumber>,
 }
@@ -57,7 +57,7 @@
                 kind: entry.kind.unwrap_or_default(),
                 weight: entry.weight.unwrap_or(1.0),
                 state: entry.state,
-                started_at: Some(started_us).filter(|started| *started > 0),
+                started_at: Some(started_us).filter(|started_us| *started_us > 0),
             },
             wire_id: entry.wire_id,
             address: entry.address,
--- a/crates/proxy/src/discovery/event_bus.rs
+++ b/crates/proxy/src/discovery/event_bus.rs
@@ -1,5 +1,5 @@
-//! The event bus: numbered purges and changes of the endpoint list, read as server-sent events over
-//! HTTP.
+//! Client of the event bus, which sends numbered purges and endpoint list changes as server-sent
+//! events over HTTP.
 
 use crate::discovery::endpoint_entry::EndpointEntry;
 use crate::limits::Limits;
@@ -11,63 +11,63 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// What an event of the bus means.
+/// The content of an event from the event bus.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// The endpoint list, or changes to it.
+    /// The whole endpoint list, or changes to it, as the mode says.
     List(EndpointListMode, Vec<ListedServer>),
-    /// An object, or with none a whole group, was purged.
+    /// An object or a whole group was purged.
     Purge {
-        /// The object.
+        /// The purged object. None if a group is purged.
         object: Option<String>,
-        /// The group; 0 where an object is named.
+        /// The purged group. 0 if an object is purged.
         group: u64,
         /// Unix time of the purge, in microseconds.
         at: Micros,
     },
 }
 
-/// An event of the bus.
+/// An event from the event bus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EventBusMessage {
-    /// Its number.
+    /// The number of the event.
     pub offset: u64,
-    /// What it means; none: a kind of event that is not known here.
+    /// The content of the event. None if the proxy does not know this kind of event.
     pub event: Option<DiscoveryEvent>,
 }
 
-/// Why an event of the bus cannot be read.
+/// Why an event from the event bus cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum EventReadError {
     /// A key is missing or holds a value of the wrong type.
     #[error(transparent)]
     Field(#[from] ReadError),
-    /// The same, within the purge that the event carries.
+    /// A key of the event's purge is missing or holds a value of the wrong type.
     #[error("ban: {0}")]
     Purge(ReadError),
-    /// A purge names neither an object nor a group.
+    /// The event's purge names neither an object nor a group.
     #[error("ban: field 'tag' is missing or not a whole number")]
     PurgeWithoutTarget,
 }
 
-/// An event as it stands in JSON. It carries either an endpoint list or a purge.
+/// An event in its JSON form. It contains either an endpoint list or a purge.
 #[derive(Deserialize)]
 struct RawEvent {
     offset: WholeNumber,
     topology: Option<Object<RawEndpointList>>,
-    /// Read as a [`RawPurge`] once it is known that there is no list.
+    /// Read as a [`RawPurge`] only if the event contains no endpoint list.
     ban: Option<IgnoredAny>,
 }
 
 #[derive(Deserialize)]
 struct RawEndpointList {
-    /// The entries are the whole list; otherwise they are changes.
+    /// Whether the entries are the whole list. Otherwise they are changes.
     #[serde(rename = "all")]
     is_snapshot: Option<bool>,
     #[serde(rename = "targets")]
     #[expect(
         dead_code,
-        reason = "checked to be a list; read_entry reads its entries where they stand"
+        reason = "only checked to be a list; read_entry reads each entry from the JSON value"
     )]
     entries: Option<Vec<IgnoredAny>>,
 }
@@ -76,19 +76,19 @@
 struct RawPurge {
     #[serde(rename = "url")]
     object: Option<String>,
-    /// Not read where an object is named.
+    /// Ignored if an object is named.
     #[serde(rename = "tag")]
     group: Option<Tolerant<WholeNumber>>,
-    /// Unix time in milliseconds.
+    /// Unix time of the purge, in milliseconds.
     #[serde(rename = "ts")]
     purged_at_ms: WholeNumber,
 }
 
-/// Reads an event.
+/// Reads an event from its JSON form.
 pub fn read_event(value: &Value) -> Result<EventBusMessage, EventReadError> {
     let Object(raw): Object<RawEvent> = read(value)?;
     let event = match (raw.topology, raw.ban) {
-        (Some(Object(list)), _) => Some(endpoint_list(&list, &value["topology"]["targets"])),
+        (Some(Object(list)), _) => Some(read_endpoint_list(&list, &value["topology"]["targets"])),
         (None, Some(IgnoredAny)) => Some(read_purge(&value["ban"])?),
         (None, None) => None,
     };
@@ -98,7 +98,7 @@
     })
 }
 
-fn endpoint_list(list: &RawEndpointList, entries: &Value) -> DiscoveryEvent {
+fn read_endpoint_list(list: &RawEndpointList, entries: &Value) -> DiscoveryEvent {
     let mode = match list.is_snapshot {
         Some(true) => EndpointListMode::Snapshot,
         _ => EndpointListMode::Delta,
@@ -107,13 +107,13 @@
     DiscoveryEvent::List(mode, entries.filter_map(read_entry).collect())
 }
 
-/// Reads an entry of the endpoint list. One that cannot be read is skipped, so that the drains of
-/// the others still take effect.
+/// Reads an entry of the endpoint list. Returns None for an entry that cannot be read. Skipping it
+/// lets the other entries take effect, such as the draining of a server.
 fn read_entry(value: &Value) -> Option<ListedServer> {
     match read::<Object<EndpointEntry>>(value) {
         Ok(Object(entry)) => Some(entry.into()),
         Err(error) => {
-            log::warn!("an entry of the endpoint list is skipped: {error}");
+            log::warn!("event bus: skipping an endpoint list entry that cannot be read: {error}");
             None
         }
     }
@@ -133,7 +133,7 @@
     })
 }
 
-/// The HTTP request for all events after the one with this number.
+/// Returns the HTTP request for all events after the one with number `last_offset`.
 pub fn request(host: &str, last_offset: u64) -> Vec<u8> {
     format!(
         "GET /bus/read HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -142,50 +142,55 @@
     .into_bytes()
 }
 
-/// The client's side of one connection to the event bus: reads the response, which goes on until
+/// The client side of one connection to the event bus. It reads the response, which continues until
 /// the connection ends.
 pub struct EventStreamClient {
     http: http::MessageParser,
     events: sse::EventParser,
-    last_read: Micros,
-    has_answered: bool,
+    last_read_at: Micros,
+    has_received_data: bool,
 }
 
 impl EventStreamClient {
-    /// The client of a connection that begins now.
+    /// Creates the client of a connection that is opened at `now`.
     pub fn new(limits: &Limits, now: Micros) -> Self {
         EventStreamClient {
             http: http::MessageParser::responses(limits.line_bytes, usize::MAX),
             events: sse::EventParser::new(limits.endpoint_list_bytes),
-            last_read: now,
-            has_answered: false,
+            last_read_at: now,
+            has_received_data: false,
         }
     }
 
-    /// Whether anything has come yet.
-    pub fn has_answered(&self) -> bool {
-        self.has_answered
+    /// Returns whether any data has arrived on the connection.
+    pub fn has_received_data(&self) -> bool {
+        self.has_received_data
     }
 
-    /// When something last arrived.
-    pub fn last_read(&self) -> Micros {
-        self.last_read
+    /// Returns when data last arrived, or when the connection was opened if no data has arrived.
+    pub fn last_read_at(&self) -> Micros {
+        self.last_read_at
     }
 
-    /// Reads bytes that have arrived. Gives the events that are complete by them and have a number
-    /// above `last_offset`, and moves that on. An error ends the connection.
+    /// Reads bytes that have arrived at `now`. Returns the events that are complete and have a
+    /// number above `last_offset`, and sets `last_offset` to the number of the last of them.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the stream violates the protocol or has ended. The connection must be
+    /// closed.
     pub fn read(
         &mut self,
         now: Micros,
         mut input: &[u8],
         last_offset: &mut u64,
     ) -> Result<Vec<EventBusMessage>, ProtocolError> {
-        self.last_read = now;
-        self.has_answered = true;
+        self.last_read_at = now;
+        self.has_received_data = true;
         let mut messages = Vec::new();
         loop {
-            let (taken, piece) = self.http.parse(input)?;
-            input = &input[taken..];
+            let (consumed, piece) = self.http.parse(input)?;
+            input = &input[consumed..];
             match piece {
                 None => return Ok(messages),
                 Some(http::Piece::Head(head)) if head.status() != Some(200) => {
@@ -211,8 +216,8 @@
         messages: &mut Vec<EventBusMessage>,
     ) -> Result<(), ProtocolError> {
         while !bytes.is_empty() {
-            let (taken, event) = self.events.parse(bytes)?;
-            bytes = &bytes[taken..];
+            let (consumed, event) = self.events.parse(bytes)?;
+            bytes = &bytes[consumed..];
             let Some(event) = event else { continue };
             let value = serde_json::from_str(&event.data)
                 .map_err(|_| ProtocolError::Malformed("an event"))?;
@@ -221,9 +226,12 @@
                     *last_offset = message.offset;
                     messages.push(message);
                 }
-                // A repeat after a reconnection: the list must not go back to an earlier state.
+                // The event bus repeats events after a reconnection. Applying them again would
+                // return the endpoint list to an earlier state.
                 Ok(_) => {}
-                Err(error) => log::warn!("an event of the bus is skipped: {error}"),
+                Err(error) => {
+                    log::warn!("event bus: skipping an event that cannot be read: {error}")
+                }
             }
         }
         Ok(())
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Sources of the endpoint list and of purges: event bus, Consul, gossip between proxies and the
-//! purge log.
+//! Sources of the endpoint list and of purges: the event bus, Consul, purge gossip between proxies,
+//! and the purge log.
 
 pub mod backoff;
 pub mod consul;
--- a/crates/proxy/src/discovery/purge_gossip.rs
+++ b/crates/proxy/src/discovery/purge_gossip.rs
@@ -1,26 +1,27 @@
-//! Purge gossip: datagrams by which the proxies of one installation pass on the purges that only
-//! one of them was notified of. The purge log holds the same text, one purge a line.
+//! Format of purge gossip. The proxies of an installation send each other datagrams with the purges
+//! that only one of them was notified of. The purge log uses the same format, with one purge on
+//! each line.
 //!
-//! `purge object OBJECT UNIX_US` or `purge group NUMBER UNIX_US`, in ASCII, with one space between
-//! words.
+//! A purge is written as `purge object OBJECT UNIX_US` or `purge group NUMBER UNIX_US`, in ASCII,
+//! with one space between words.
 
 use edge_routing::Micros;
 
-/// The longest datagram that the platform carries, in bytes.
+/// The maximum size of a datagram that the platform delivers, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// A purge of an object, or of a whole group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// The object; none: all objects of the group.
+    /// The purged object. None if the whole group is purged.
     pub object: Option<String>,
-    /// The group; 0 where an object is named.
+    /// The purged group. 0 if an object is purged.
     pub group: u64,
     /// Unix time of the purge, in microseconds.
     pub purged_at: Micros,
 }
 
-/// A purge as a datagram; none where it would be too long.
+/// Encodes a purge as a datagram. Returns None if the datagram would exceed [`MAX_DATAGRAM_BYTES`].
 pub fn encode(purge: &Purge) -> Option<String> {
     let Purge {
         object,
@@ -34,7 +35,7 @@
     (text.len() <= MAX_DATAGRAM_BYTES).then_some(text)
 }
 
-/// The purge that a datagram holds; none where it is not a purge.
+/// Decodes a datagram. Returns None if it is not a valid purge.
 pub fn decode(datagram: &[u8]) -> Option<Purge> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return None;
--- a/crates/proxy/src/discovery/purge_log.rs
+++ b/crates/proxy/src/discovery/purge_log.rs
@@ -1,9 +1,10 @@
-//! The purge log: a file of the purges that only this proxy and its peers were notified of. Cache
-//! servers do not learn of them, so a proxy that starts again must read them back.
+//! The purge log is a file with the purges that only this proxy and its peers were notified of.
+//! Cache servers are not notified of them, so a proxy must read them back after a restart.
 //!
-//! Each line is a purge as [`purge_gossip`](super::purge_gossip) encodes it. A purge is kept once its
-//! line is on the disk. After an error nobody can tell what of the last lines is there, so the whole
-//! file is written anew, beside the old one, and takes its place once it is complete on the disk.
+//! Each line is a purge as encoded by [`purge_gossip`](super::purge_gossip). A purge is stored once
+//! its line is on disk. After a write error, it is unknown which of the last lines are on disk. The
+//! whole log is then written to a new file next to the old one. The new file replaces the old one
+//! once it is complete on disk.
 
 use crate::discovery::purge_gossip::{decode, encode, Purge};
 use crate::sys::{self, errors};
@@ -13,100 +14,110 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file is rewritten once it has more lines than two for each purge plus this many.
+/// The file is rewritten once it has at least two lines for each purge plus this many.
 pub const REWRITE_SLACK_LINES: usize = 1024;
 
-/// What a purge names: an object, or with none a group.
+/// The target of a purge: an object, or a group if the object is None.
 type PurgeTarget = (Option<String>, u64);
 
-/// The file, and the purges in it.
+/// An open purge log and the purges in it.
 pub struct PurgeLog {
     path: PathBuf,
-    /// None: a write has failed, and the file does not have all purges for certain.
+    /// The file, open for appending. None if the file must be rewritten, because a write has failed
+    /// and some purges may be missing from it, or because it has too many lines.
     file: Option<File>,
-    /// Lines in the file.
-    lines: usize,
+    /// Number of lines in the file.
+    line_count: usize,
     /// Unix time of the last purge of each target, in microseconds.
     last_purges: BTreeMap<PurgeTarget, Micros>,
 }
 
 impl PurgeLog {
-    /// Reads the purges that are kept at a path, and writes the file anew without what can't be
-    /// read, such as a line that was cut off by a crash. A file that does not exist holds no purges.
-    /// Where the disk does not take the new file for the moment, the old one stays.
+    /// Reads the purge log at a path and rewrites it without lines that can't be read, such as a
+    /// line that a crash truncated. A file that does not exist contains no purges. If the rewrite
+    /// fails temporarily, the old file stays in place.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or can't ever be written.
+    /// Returns an error if the file can't be read, or if it can't be written for a permanent
+    /// reason.
     pub fn open(path: &Path) -> io::Result<Self> {
         let mut purge_log = PurgeLog {
             path: path.to_owned(),
             file: None,
-            lines: 0,
+            line_count: 0,
             last_purges: read_purges(path)?,
         };
         match purge_log.flush() {
-            Err(error) if !errors::may_pass_at_start(&error) => Err(error),
+            Err(error) if !errors::is_transient_at_startup(&error) => Err(error),
             Err(error) => {
-                log::warn!("{}: can't be written yet: {error}", path.display());
+                log::warn!(
+                    "{}: cannot rewrite the purge log, keeping the old file for now: {error}",
+                    path.display()
+                );
                 Ok(purge_log)
             }
             Ok(()) => Ok(purge_log),
         }
     }
 
-    /// The last purge of each target.
+    /// Returns the last purge of each target.
     pub fn purges(&self) -> Vec<Purge> {
         self.last_purges.iter().map(to_purge).collect()
     }
 
-    /// Keeps a purge, unless a later one of its target is kept.
+    /// Stores a purge, unless a purge of the same target at the same time or later is stored.
+    /// Ignores a purge that [`encode`] can't encode.
     ///
     /// # Errors
     ///
-    /// It is not on the disk yet. It will be with the next call of this or of [`flush`](Self::flush)
-    /// that succeeds.
+    /// Returns an error if the purge is not on disk yet. It is written by the next successful call
+    /// of this function or of [`flush`](Self::flush).
     pub fn add(&mut self, purge: &Purge) -> io::Result<()> {
         let Some(line) = encode(purge) else {
             return Ok(());
         };
         let target = (purge.object.clone(), purge.group);
-        let last = self.last_purges.entry(target).or_insert(0);
-        if purge.purged_at <= *last {
+        let last_purged_at = self.last_purges.entry(target).or_insert(0);
+        if purge.purged_at <= *last_purged_at {
             return self.flush();
         }
-        *last = purge.purged_at;
-        if self.lines >= 2 * self.last_purges.len() + REWRITE_SLACK_LINES {
+        *last_purged_at = purge.purged_at;
+        if self.line_count >= 2 * self.last_purges.len() + REWRITE_SLACK_LINES {
             self.file = None;
         }
         let Some(file) = &self.file else {
             return self.flush();
         };
-        let written =
+        let result =
             sys::write_file(file, (line + "\n").as_bytes()).and_then(|()| sys::sync_file(file));
-        match written {
-            Ok(()) => self.lines += 1,
+        match result {
+            Ok(()) => self.line_count += 1,
             Err(_) => self.file = None,
         }
-        written
+        result
     }
 
-    /// Writes the whole file anew, if it may not have all purges.
+    /// Rewrites the whole file, if that is pending.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file can't be written. The rewrite stays pending.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.file.is_none() {
             self.file = Some(rewrite(&self.path, &self.last_purges)?);
-            self.lines = self.last_purges.len();
+            self.line_count = self.last_purges.len();
         }
         Ok(())
     }
 
-    /// Whether all purges are on the disk.
+    /// Returns whether all purges are on disk.
     pub fn is_flushed(&self) -> bool {
         self.file.is_some()
     }
 }
 
-/// The last purge of each target in a file.
+/// Reads the last purge of each target from a file.
 fn read_purges(path: &Path) -> io::Result<BTreeMap<PurgeTarget, Micros>> {
     let text = match sys::read_file(path) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
@@ -116,18 +127,18 @@
     let mut last_purges = BTreeMap::new();
     for line in text.split_inclusive('\n') {
         let Some(purge) = read_line(line) else {
-            log::warn!("{}: a line that is not a purge is skipped", path.display());
+            log::warn!("{}: skipping a line that is not a purge", path.display());
             continue;
         };
-        let last = last_purges
+        let last_purged_at = last_purges
             .entry((purge.object, purge.group))
             .or_insert(purge.purged_at);
-        *last = purge.purged_at.max(*last);
+        *last_purged_at = purge.purged_at.max(*last_purged_at);
     }
     Ok(last_purges)
 }
 
-/// The purge of a line; none where the line is cut off or no purge.
+/// Reads the purge of a line. Returns None if the line is truncated or not a purge.
 fn read_line(line: &str) -> Option<Purge> {
     decode(line.strip_suffix('\n')?.as_bytes())
 }
@@ -140,8 +151,8 @@
     }
 }
 
-/// Writes a file with these purges beside the old one, and puts it in its place once it is complete
-/// on the disk. Returns it for further lines.
+/// Writes the purges to a new file, which replaces the file at `path` once it is complete on disk.
+/// Returns the new file, open for appending.
 fn rewrite(path: &Path, last_purges: &BTreeMap<PurgeTarget, Micros>) -> io::Result<File> {
     let mut new_path = path.as_os_str().to_owned();
     new_path.push(".new");
@@ -155,14 +166,14 @@
     sys::write_file(&file, lines.as_bytes())?;
     sys::sync_file(&file)?;
     sys::rename(&new_path, path)?;
-    sys::sync_folder(folder_of(path))?;
+    sys::sync_directory(parent_directory(path))?;
     Ok(file)
 }
 
-/// The folder that a file is in.
-fn folder_of(path: &Path) -> &Path {
+/// Returns the directory of a file.
+fn parent_directory(path: &Path) -> &Path {
     match path.parent() {
-        Some(folder) if !folder.as_os_str().is_empty() => folder,
+        Some(directory) if !directory.as_os_str().is_empty() => directory,
         _ => Path::new("."),
     }
 }
--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -1,79 +1,94 @@
-//! The fleet's time against this process's clock.
+//! Correction of the local clock by timestamps from the fleet.
 //!
-//! Purges and the starts of servers are stamped with Unix time by the event bus, copies by the
-//! origin. The wall clock of this machine may have been wrong when the process started, by seconds
-//! or an hour, and nobody says so. What is certain is an order: a stamp that has arrived is not in
-//! the future. So the fleet's time is at least as far ahead of the clock as any stamp has been.
+//! The event bus timestamps purges and server starts with Unix time, and the origin timestamps
+//! copies. The wall clock of this machine may have been wrong by seconds or by an hour when the
+//! process started, and nothing reports this. However, a timestamp that has arrived can't lie in
+//! the future. The fleet's time is therefore ahead of the local clock by at least as much as any
+//! timestamp was on arrival.
 //!
-//! That bound is used in place of the wall clock. It is the safe side for both uses: a purge is never
-//! taken for older than it is, which would let a copy from before it pass, and neither is the start
-//! of a server, which would end its slow start early. It is exact to some milliseconds as soon as a
-//! fresh copy has come. Before any stamp, the wall clock is all there is.
+//! This lower bound of the lead is used to convert timestamps to the local clock. It is the safe
+//! choice for both uses. A purge never seems older than it is, which would let a copy from before
+//! the purge be served. A server's start never seems older than it is either, which would end its
+//! slow start early. The bound is exact to a few milliseconds once a fresh copy has arrived. Before
+//! any timestamp has arrived, the local clock is used unchanged.
 
 use edge_routing::Micros;
 
-/// The bound is moved in steps of at least this, each of which costs a look at all servers.
-const STEP_US: i64 = 10_000;
-/// A copy may be stamped wrongly. One that says that the clock is late counts once another copy is
-/// within this of it.
-const AGREEMENT_US: i64 = 1_000_000;
-/// A copy that is this far ahead of all that is known is stamped wrongly.
+/// The bound is raised in steps of at least this size, because each step requires a pass over all
+/// servers.
+const MIN_STEP_US: i64 = 10_000;
+/// The timestamp of a copy may be wrong. If it would raise the bound, it counts only if the
+/// previous such timestamp implies a lead that differs by at most this much.
+const MAX_CONFIRMATION_DIFFERENCE_US: i64 = 1_000_000;
+/// A timestamp of a copy that exceeds the known bound by more than this (24 hours) is wrong and is
+/// ignored.
 const MAX_COPY_LEAD_US: i64 = 24 * 3_600 * 1_000_000;
 
-/// What is known of the offset between the fleet's time and the clock.
+/// A lower bound of how far the fleet's time is ahead of the local clock.
 #[derive(Debug, Default)]
 pub struct ReferenceTime {
-    /// The fleet's time is ahead of the clock by at least this; none: no stamp has come.
-    lead_us: Option<i64>,
-    /// What a copy has said that nothing else confirms yet.
-    unconfirmed_us: Option<i64>,
+    /// The fleet's time is ahead of the local clock by at least this much. None before any
+    /// timestamp has arrived.
+    min_lead_us: Option<i64>,
+    /// The lead by the last timestamp of a copy that would have raised the bound.
+    unconfirmed_lead_us: Option<i64>,
 }
 
 impl ReferenceTime {
-    /// A stamp, in microseconds, on the scale of the clock.
-    pub fn to_local(&self, stamp_us: u64) -> Micros {
-        stamp_us.saturating_add_signed(self.lead_us.unwrap_or(0).saturating_neg())
+    /// Converts a timestamp of the fleet, in microseconds, to the local clock.
+    pub fn to_local(&self, timestamp_us: u64) -> Micros {
+        timestamp_us.saturating_add_signed(self.min_lead_us.unwrap_or(0).saturating_neg())
     }
 
-    /// The event bus has told of something that happened at `stamp_us`. Returns by how much the
-    /// bound has moved: earlier results of [`to_local`](Self::to_local) are too high by that.
-    pub fn event_arrived(&mut self, now: Micros, stamp_us: u64) -> Micros {
-        self.raise(lead(now, stamp_us))
+    /// Records the timestamp of an event from the event bus. Returns by how much the bound has
+    /// risen, in microseconds. Earlier results of [`to_local`](Self::to_local) are too high by this
+    /// much.
+    pub fn observe_event(&mut self, now: Micros, timestamp_us: u64) -> Micros {
+        self.raise_bound(lead(now, timestamp_us))
     }
 
-    /// A copy that was made at `made_us` has arrived. Returns the same.
-    pub fn copy_arrived(&mut self, now: Micros, made_us: u64) -> Micros {
+    /// Records that a copy made at `made_us` has arrived. Returns by how much the bound has risen,
+    /// as [`observe_event`](Self::observe_event) does.
+    pub fn observe_copy(&mut self, now: Micros, made_us: u64) -> Micros {
         let lead_us = lead(now, made_us);
-        if lead_us > self.lead_us.unwrap_or(0).saturating_add(MAX_COPY_LEAD_US) {
+        if lead_us
+            > self
+                .min_lead_us
+                .unwrap_or(0)
+                .saturating_add(MAX_COPY_LEAD_US)
+        {
             return 0;
         }
-        if lead_us <= 0 || self.lead_us.is_some_and(|known_us| lead_us <= known_us) {
-            return self.raise(lead_us);
+        if lead_us <= 0 || self.min_lead_us.is_some_and(|known_us| lead_us <= known_us) {
+            return self.raise_bound(lead_us);
         }
         let confirmed_us = self
-            .unconfirmed_us
+            .unconfirmed_lead_us
             .replace(lead_us)
-            .filter(|other_us| lead_us.abs_diff(*other_us) <= AGREEMENT_US as u64)
+            .filter(|other_us| lead_us.abs_diff(*other_us) <= MAX_CONFIRMATION_DIFFERENCE_US as u64)
             .map(|other_us| other_us.min(lead_us));
-        confirmed_us.map_or(0, |lead_us| self.raise(lead_us))
+        confirmed_us.map_or(0, |lead_us| self.raise_bound(lead_us))
     }
 
-    fn raise(&mut self, lead_us: i64) -> Micros {
-        let Some(known_us) = self.lead_us else {
-            self.lead_us = Some(lead_us);
+    /// Raises the bound to `lead_us` if this is a step of at least [`MIN_STEP_US`]. Returns the
+    /// size of the step in microseconds, or 0 if this sets the first bound or leaves the bound
+    /// unchanged.
+    fn raise_bound(&mut self, lead_us: i64) -> Micros {
+        let Some(known_us) = self.min_lead_us else {
+            self.min_lead_us = Some(lead_us);
             return 0;
         };
         let moved_us = lead_us.saturating_sub(known_us);
-        if moved_us < STEP_US {
+        if moved_us < MIN_STEP_US {
             return 0;
         }
-        self.lead_us = Some(lead_us);
+        self.min_lead_us = Some(lead_us);
         moved_us.unsigned_abs()
     }
 }
 
-/// By how much a stamp is ahead of the clock.
-fn lead(now: Micros, stamp_us: u64) -> i64 {
-    let stamp = i64::try_from(stamp_us).unwrap_or(i64::MAX);
-    stamp.saturating_sub(i64::try_from(now).unwrap_or(i64::MAX))
+/// Returns by how many microseconds a timestamp is ahead of the local clock.
+fn lead(now: Micros, timestamp_us: u64) -> i64 {
+    let timestamp_us = i64::try_from(timestamp_us).unwrap_or(i64::MAX);
+    timestamp_us.saturating_sub(i64::try_from(now).unwrap_or(i64::MAX))
 }
--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -191,7 +191,7 @@
     fn pause_accepting(&mut self, now: Micros, kind: ListenerKind, reason: &io::Error) {
         log::debug!(
             "pausing accept on the {kind:?} listener for {} ms: {reason}",
-            self.limits.accept_retry_us / 1_000
+            self.limits.accept_retry_interval_us / 1_000
         );
         let is_full = reason.kind() == io::ErrorKind::OutOfMemory;
         if let Some(acceptor) = self.acceptors.get_mut(kind) {
@@ -201,8 +201,10 @@
             }
         }
         if !std::mem::replace(&mut self.acceptors.retry_scheduled, true) {
-            self.timers
-                .set(now + self.limits.accept_retry_us, TimerEvent::RetryAccept);
+            self.timers.schedule(
+                now + self.limits.accept_retry_interval_us,
+                TimerEvent::RetryAccept,
+            );
         }
     }
 
@@ -238,7 +240,7 @@
             return;
         };
         self.clients.connections += 1;
-        self.timers.set(
+        self.timers.schedule(
             now + self.limits.client_request_timeout_us,
             TimerEvent::CheckClient(key),
         );
--- a/crates/proxy/src/event_loop/clients/eviction.rs
+++ b/crates/proxy/src/event_loop/clients/eviction.rs
@@ -121,7 +121,7 @@
     /// class the one with the earliest start of its timeout. Returns `None` if no connection may be
     /// evicted.
     fn eviction_candidate(&self, now: Micros) -> Option<SlabKey> {
-        let latest_evictable_start = now.saturating_sub(self.limits.eviction_immunity_us);
+        let latest_evictable_start = now.saturating_sub(self.limits.eviction_grace_us);
         let rank = |key: SlabKey| {
             let connection = self.connections.get(key)?;
             let class = connection.eviction_class()?;
--- a/crates/proxy/src/event_loop/clients/fastcgi.rs
+++ b/crates/proxy/src/event_loop/clients/fastcgi.rs
@@ -94,7 +94,7 @@
     }
 
     /// Reads the input that has arrived meanwhile and appends its events to `events`. Stops when
-    /// nothing more arrives, or after `Limits::late_reads` reads.
+    /// nothing more arrives, or after `Limits::max_late_reads` reads.
     ///
     /// # Errors
     ///
@@ -104,7 +104,7 @@
         key: SlabKey,
         events: &mut VecDeque<SessionEvent>,
     ) -> Result<IoProgress, ProtocolError> {
-        for _ in 0..self.limits.late_reads {
+        for _ in 0..self.limits.max_late_reads {
             let Some((transport, _)) = self.connections.fastcgi_client_mut(key) else {
                 break;
             };
@@ -153,7 +153,7 @@
         let unsent_limit_exceeded =
             self.clients.unsent_answer_bytes > self.limits.unsent_answer_bytes;
         // A client that sends very many requests must leave room for the requests of other clients.
-        let client_limit_exceeded = !self.limits.admits(
+        let client_limit_exceeded = !self.limits.allows_open_requests(
             session.unanswered() - requests_behind,
             self.request_table.is_half_full(),
         );
--- a/crates/proxy/src/event_loop/clients/mod.rs
+++ b/crates/proxy/src/event_loop/clients/mod.rs
@@ -193,12 +193,13 @@
         let deadline = connection.inactivity_deadline(&self.limits);
         if connection.unread_since.is_some() {
             // The connection could not be read at this moment and may have received a request.
-            let retry_at = now + self.limits.local_retry_us;
-            self.timers.set(retry_at, TimerEvent::CheckClient(key));
+            let retry_at = now + self.limits.local_error_retry_interval_us;
+            self.timers.schedule(retry_at, TimerEvent::CheckClient(key));
         } else if !has_expired(deadline) {
-            let next_sweep = now + self.limits.client_sweep_us;
+            let next_sweep = now + self.limits.client_check_interval_us;
             let next_check = deadline.map_or(next_sweep, |at| at.min(next_sweep));
-            self.timers.set(next_check, TimerEvent::CheckClient(key));
+            self.timers
+                .schedule(next_check, TimerEvent::CheckClient(key));
         } else if matches!(class, EvictionClass::Busy | EvictionClass::Lingering) {
             // The client has neither read its answer nor closed its half in time.
             self.close(now, key, CloseReason::ClientStalled);
--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -92,7 +92,7 @@
 
 impl From<io::Error> for ConnectError {
     fn from(error: io::Error) -> Self {
-        if errors::is_local(&error) {
+        if errors::is_local_resource_error(&error) {
             ConnectError::Local(error)
         } else {
             ConnectError::Peer(error)
@@ -226,7 +226,7 @@
             ConnectError::from(e)
         })?;
         let key = self.open_connection(now, transport, role)?;
-        self.timers.set(
+        self.timers.schedule(
             now + self.limits.connect_timeout_us,
             TimerEvent::ConnectTimeout(key),
         );
@@ -239,7 +239,7 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        if connection.transport.connected {
+        if connection.transport.is_connected {
             return;
         }
         match connection.role {
@@ -282,7 +282,7 @@
         log::debug!(
             "cannot watch connection {:x}, retrying in {} ms: {e}",
             key.to_u64(),
-            self.limits.local_retry_us / 1_000
+            self.limits.local_error_retry_interval_us / 1_000
         );
         self.schedule_connection_retry(now, key);
     }
@@ -295,8 +295,8 @@
         };
         connection.unread_since.get_or_insert(now);
         if !std::mem::replace(&mut connection.retry_scheduled, true) {
-            let at = now + self.limits.local_retry_us;
-            self.timers.set(at, TimerEvent::RetryConnection(key));
+            let at = now + self.limits.local_error_retry_interval_us;
+            self.timers.schedule(at, TimerEvent::RetryConnection(key));
         }
     }
 
@@ -335,7 +335,7 @@
         let role = std::mem::replace(&mut connection.role, lingering);
         self.log_close(key, &role, reason);
         self.report_client_disconnected(now, &role);
-        self.timers.set(
+        self.timers.schedule(
             now + self.limits.lingering_close_us,
             TimerEvent::CheckClient(key),
         );
--- a/crates/proxy/src/event_loop/consul.rs
+++ b/crates/proxy/src/event_loop/consul.rs
@@ -47,7 +47,7 @@
         let query = ConsulQuery::new(&self.limits);
         match self.connect_to(now, address, ConnectionRole::Consul(query)) {
             Ok(key) => {
-                self.timers.set(
+                self.timers.schedule(
                     now + self.limits.consul_timeout_us,
                     TimerEvent::ResponseTimeout(key),
                 );
@@ -93,11 +93,11 @@
             return;
         };
         let update = response
-            .ok_or(ConsulError::NoAnswer)
-            .and_then(|message| consul.response(&message));
+            .ok_or(ConsulError::NoResponse)
+            .and_then(|message| consul.handle_response(&message));
         let next_query = match update {
             Ok(servers) => {
-                backoff.succeeded();
+                backoff.reset();
                 if let Some(servers) = servers {
                     self.request_table
                         .update_endpoints(now, EndpointListMode::Snapshot, servers);
@@ -106,10 +106,10 @@
             }
             Err(e) => {
                 log::warn!("Consul: {e}");
-                consul.failed();
-                now + backoff.next_us()
+                consul.handle_failure();
+                now + backoff.next_delay_us()
             }
         };
-        self.timers.set(next_query, TimerEvent::QueryConsul);
+        self.timers.schedule(next_query, TimerEvent::QueryConsul);
     }
 }
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -56,7 +56,7 @@
         let connected = self.connect_to(now, address, ConnectionRole::EventBus(stream));
         self.event_bus.connection = connected.ok();
         if self.event_bus.connection.is_some() {
-            self.schedule_event_bus_check(now + self.limits.event_bus_silence_us);
+            self.schedule_event_bus_check(now + self.limits.event_bus_idle_timeout_us);
         } else {
             self.schedule_event_bus_reconnect(now);
         }
@@ -70,17 +70,17 @@
         for old in [unanswered, connection].into_iter().flatten() {
             self.close(now, old, CloseReason::EventBusAddressChanged);
         }
-        self.event_bus.backoff.succeeded();
+        self.event_bus.backoff.reset();
         self.connect_event_bus(now);
     }
 
     fn schedule_event_bus_reconnect(&mut self, now: Micros) {
-        let wait_us = self.event_bus.backoff.next_us();
+        let wait_us = self.event_bus.backoff.next_delay_us();
         self.schedule_event_bus_check(now + wait_us);
     }
 
     fn schedule_event_bus_check(&mut self, at: Micros) {
-        let timer = self.timers.set(at, TimerEvent::CheckEventBus);
+        let timer = self.timers.schedule(at, TimerEvent::CheckEventBus);
         if let Some(earlier) = self.event_bus.check_timer.replace(timer) {
             self.timers.cancel(earlier);
         }
@@ -96,15 +96,15 @@
         let Some(stream) = self.event_stream(key) else {
             return self.connect_event_bus(now);
         };
-        let silence_timeout_at = stream.last_read() + self.limits.event_bus_silence_us;
+        let silence_timeout_at = stream.last_read_at() + self.limits.event_bus_idle_timeout_us;
         if now < silence_timeout_at {
             return self.schedule_event_bus_check(silence_timeout_at);
         }
-        let has_answered = stream.has_answered();
+        let has_answered = stream.has_received_data();
         log::warn!(
             "event bus connection {:x} received nothing for {} ms, opening another one",
             key.to_u64(),
-            self.limits.event_bus_silence_us / 1_000
+            self.limits.event_bus_idle_timeout_us / 1_000
         );
         self.event_bus.connection = None;
         if has_answered {
@@ -127,14 +127,17 @@
 
     /// Keeps an unanswered connection open beside the connection in use. If an earlier unanswered
     /// connection is already kept, closes the earlier one if it has been open for
-    /// `Limits::event_bus_patience_us`, and otherwise closes the new one.
+    /// `Limits::event_bus_response_timeout_us`, and otherwise closes the new one.
     fn keep_unanswered_connection(&mut self, now: Micros, key: SlabKey) {
         let Some(earlier) = self.event_bus.unanswered_connection else {
             self.event_bus.unanswered_connection = Some(key);
             return;
         };
-        let opened_at = self.event_stream(earlier).map(EventStreamClient::last_read);
-        let is_overdue = opened_at.is_none_or(|at| now >= at + self.limits.event_bus_patience_us);
+        let opened_at = self
+            .event_stream(earlier)
+            .map(EventStreamClient::last_read_at);
+        let is_overdue =
+            opened_at.is_none_or(|at| now >= at + self.limits.event_bus_response_timeout_us);
         let to_close = if is_overdue {
             self.event_bus.unanswered_connection = Some(key);
             earlier
@@ -147,7 +150,7 @@
     /// Handles that input has arrived on a connection to the event bus. From then on it is the
     /// connection in use, and another one that is being tried is closed.
     fn select_event_bus_connection(&mut self, now: Micros, key: SlabKey) {
-        self.event_bus.backoff.succeeded();
+        self.event_bus.backoff.reset();
         if self.event_bus.unanswered_connection != Some(key) {
             return;
         }
@@ -155,7 +158,7 @@
         if let Some(other) = self.event_bus.connection.replace(key) {
             self.close(now, other, CloseReason::EventBusSuperseded);
         }
-        self.schedule_event_bus_check(now + self.limits.event_bus_silence_us);
+        self.schedule_event_bus_check(now + self.limits.event_bus_idle_timeout_us);
     }
 
     fn event_stream(&self, key: SlabKey) -> Option<&EventStreamClient> {
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -177,7 +177,7 @@
         // The next request may already have arrived. A timer resumes reading, rather than a call
         // from here, so that many requests sent at once cannot cause deep recursion.
         self.timers
-            .set(now, TimerEvent::ResumeInterconnectClient(key));
+            .schedule(now, TimerEvent::ResumeInterconnectClient(key));
     }
 
     /// Handles the next request on a connection after an answer.
--- a/crates/proxy/src/event_loop/mod.rs
+++ b/crates/proxy/src/event_loop/mod.rs
@@ -203,7 +203,7 @@
             Command::DequeueAttempt(attempt, server) => self.dequeue_attempt(now, attempt, server),
             Command::Respond(target, answer) => self.deliver_answer(now, target, answer),
             Command::SetTimer(at, timer) => {
-                self.timers.set(at, TimerEvent::Request(timer));
+                self.timers.schedule(at, TimerEvent::Request(timer));
             }
             Command::Probe(server) => self.probe(now, server),
             Command::DrainServer(server) => self.drain_server(now, server),
--- a/crates/proxy/src/event_loop/notifications.rs
+++ b/crates/proxy/src/event_loop/notifications.rs
@@ -140,7 +140,7 @@
         let unsent = delivery.clone();
         match self.connect_to(now, address, ConnectionRole::Notification(delivery)) {
             Ok(key) => {
-                self.timers.set(
+                self.timers.schedule(
                     now + self.limits.notification_timeout_us,
                     TimerEvent::ResponseTimeout(key),
                 );
@@ -175,9 +175,9 @@
             _ => {
                 delivery.prepare_retry(response_parser(&self.limits));
                 let doublings = delivery.attempts.min(MAX_BACKOFF_DOUBLINGS);
-                let backoff_us = self.limits.gossip_repeat_us << doublings;
+                let backoff_us = self.limits.gossip_repeat_delay_us << doublings;
                 self.timers
-                    .set(now + backoff_us, TimerEvent::RetryNotification(delivery));
+                    .schedule(now + backoff_us, TimerEvent::RetryNotification(delivery));
                 return;
             }
         }
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -80,8 +80,8 @@
         };
         gossip.send(&datagram);
         if repeats_left > 0 {
-            self.timers.set(
-                now + self.limits.gossip_repeat_us,
+            self.timers.schedule(
+                now + self.limits.gossip_repeat_delay_us,
                 TimerEvent::RepeatPurgeGossip {
                     datagram,
                     repeats_left: repeats_left - 1,
@@ -111,7 +111,7 @@
             log::error!(
                 "cannot write a purge to the purge log, retrying in {} ms; it is in force but \
                  would be lost at a restart: {e}",
-                self.limits.purge_log_retry_us / 1_000
+                self.limits.purge_log_retry_interval_us / 1_000
             );
             self.schedule_purge_log_retry(now);
         }
@@ -139,8 +139,8 @@
             return;
         };
         if !std::mem::replace(&mut interconnect.purge_log_retry_scheduled, true) {
-            let at = now + self.limits.purge_log_retry_us;
-            self.timers.set(at, TimerEvent::RetryPurgeLog);
+            let at = now + self.limits.purge_log_retry_interval_us;
+            self.timers.schedule(at, TimerEvent::RetryPurgeLog);
         }
     }
 
--- a/crates/proxy/src/event_loop/readiness.rs
+++ b/crates/proxy/src/event_loop/readiness.rs
@@ -19,7 +19,7 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        if readiness.write && !connection.transport.connected {
+        if readiness.is_writable && !connection.transport.is_connected {
             if let Err(reason) = self.finish_connect(key) {
                 return self.close(now, key, reason);
             }
@@ -29,8 +29,8 @@
             return self.close(now, key, CloseReason::PeerClosed);
         }
         let mut input_result = Ok(());
-        if readiness.read {
-            let (progress, result) = self.read_socket(now, key, readiness.broken);
+        if readiness.is_readable {
+            let (progress, result) = self.read_socket(now, key, readiness.is_broken);
             if let Err(e) = result {
                 self.log_protocol_error(key, &e);
                 input_result = Err(CloseReason::ProtocolError);
@@ -81,7 +81,7 @@
                 "connection {:x} could not be established: {e}",
                 key.to_u64()
             );
-            if errors::is_local(&e) {
+            if errors::is_local_resource_error(&e) {
                 CloseReason::LocalFailure
             } else {
                 CloseReason::ConnectFailed
@@ -94,7 +94,7 @@
             ConnectionRole::Consul(_) => self
                 .consul
                 .as_ref()
-                .map(|poller| poller.consul.request(&poller.address.to_string())),
+                .map(|poller| poller.consul.next_request(&poller.address.to_string())),
             ConnectionRole::Notification(delivery) => Some(delivery.request()),
             _ => None,
         };
@@ -113,7 +113,7 @@
         broken: bool,
     ) -> (IoProgress, Result<(), ProtocolError>) {
         match self.connections.get_mut(key) {
-            Some(connection) if connection.transport.connected => {
+            Some(connection) if connection.transport.is_connected => {
                 let progress = connection.transport.read(broken);
                 if progress == IoProgress::Postponed {
                     self.schedule_connection_retry(now, key);
--- a/crates/proxy/src/event_loop/reload.rs
+++ b/crates/proxy/src/event_loop/reload.rs
@@ -2,21 +2,21 @@
 
 use super::timer::TimerEvent;
 use super::EventLoop;
-use crate::config::{Config, ConfigError, Source};
+use crate::config::{Config, ConfigError, ConfigSource};
 use crate::net::TimerKey;
 use edge_routing::Micros;
 
 /// The current configuration, and the source from which a new one is read.
 pub(super) struct Reload {
     pub(super) config: Config,
-    pub(super) source: Source,
+    pub(super) source: ConfigSource,
     /// Timer of the next attempt to read a configuration that could not be read. A further SIGHUP
     /// replaces it.
     retry_timer: Option<TimerKey>,
 }
 
 impl Reload {
-    pub(super) fn new(config: Config, source: Source) -> Self {
+    pub(super) fn new(config: Config, source: ConfigSource) -> Self {
         Reload {
             config,
             source,
@@ -38,10 +38,10 @@
             log::error!(
                 "SIGHUP: cannot read the configuration, keeping the current one and retrying for \
                  {} ms: {error}",
-                self.limits.reload_patience_us / 1_000
+                self.limits.reload_timeout_us / 1_000
             );
         }
-        let give_up_at = now + self.limits.reload_patience_us;
+        let give_up_at = now + self.limits.reload_timeout_us;
         self.apply_or_retry(now, new, give_up_at);
     }
 
@@ -62,8 +62,10 @@
         let new = match new {
             Ok(new) => new,
             Err(_) if now < give_up_at => {
-                let at = now + self.limits.reload_retry_us;
-                let timer = self.timers.set(at, TimerEvent::RetryReload { give_up_at });
+                let at = now + self.limits.reload_retry_interval_us;
+                let timer = self
+                    .timers
+                    .schedule(at, TimerEvent::RetryReload { give_up_at });
                 self.reload.retry_timer = Some(timer);
                 return;
             }
@@ -71,11 +73,11 @@
                 return log::error!(
                     "SIGHUP: cannot read the configuration after retrying for {} ms, keeping the \
                      current one: {error}",
-                    self.limits.reload_patience_us / 1_000
+                    self.limits.reload_timeout_us / 1_000
                 );
             }
         };
-        for key in self.reload.config.fixed_changes(&new) {
+        for key in self.reload.config.changes_requiring_restart(&new) {
             log::warn!("SIGHUP: the change of '{key}' takes effect only after a restart");
         }
         self.apply_configuration(now, new);
--- a/crates/proxy/src/event_loop/shutdown.rs
+++ b/crates/proxy/src/event_loop/shutdown.rs
@@ -54,11 +54,11 @@
             self.limits.shutdown_grace_us / 1_000
         );
         log::info!("{}", self.request_table.invariants);
-        self.timers.set(
+        self.timers.schedule(
             now + self.limits.shutdown_grace_us,
             TimerEvent::EndShutdownGrace,
         );
-        self.timers.set(
+        self.timers.schedule(
             now + self.limits.shutdown_deadline_us,
             TimerEvent::ShutdownDeadline,
         );
--- a/crates/proxy/src/event_loop/signals.rs
+++ b/crates/proxy/src/event_loop/signals.rs
@@ -49,7 +49,7 @@
 
 impl SignalPipe {
     fn register(signal: i32) -> io::Result<Self> {
-        let (receiver, sender) = retry_startup_step(sys::pair)?;
+        let (receiver, sender) = retry_startup_step(sys::socket_pair)?;
         receiver.set_nonblocking(true)?;
         signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         Ok(SignalPipe { receiver, sender })
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -12,7 +12,7 @@
 use super::signals::Signals;
 use super::upstreams::UpstreamConnections;
 use super::EventLoop;
-use crate::config::{Config, ConsulConfig, InterconnectConfig, Source};
+use crate::config::{Config, ConfigSource, ConsulConfig, InterconnectConfig};
 use crate::discovery::event_bus::EventBusMessage;
 use crate::discovery::purge_log::PurgeLog;
 use crate::frontend::interconnect::InterconnectFrontend;
@@ -79,7 +79,9 @@
     let give_up_at = Instant::now() + STARTUP_RETRY_TIMEOUT;
     loop {
         match step() {
-            Err(error) if errors::may_pass_at_start(&error) && Instant::now() < give_up_at => {
+            Err(error)
+                if errors::is_transient_at_startup(&error) && Instant::now() < give_up_at =>
+            {
                 log::warn!(
                     "startup step failed, retrying in {} ms: {error}",
                     STARTUP_RETRY_INTERVAL.as_millis()
@@ -109,7 +111,7 @@
     ///
     /// Returns a permanent error at once. Returns a transient error, such as a lack of file
     /// descriptors, once it has lasted for 5 s.
-    pub fn start(config: Config, source: Source) -> Result<Self, StartError> {
+    pub fn start(config: Config, source: ConfigSource) -> Result<Self, StartError> {
         let signals = Signals::register()?;
         Self::start_with_signals(config, source, signals)
     }
@@ -122,7 +124,7 @@
     /// Returns the same errors as [`start`](Self::start).
     pub fn start_with_signals(
         mut config: Config,
-        source: Source,
+        source: ConfigSource,
         signals: Signals,
     ) -> Result<Self, StartError> {
         let poller = retry_startup_step(|| Poller::new(MAX_EVENTS_PER_WAIT))?;
@@ -224,7 +226,7 @@
         config.limits.triggers,
     );
     let purge_log = interconnect_config
-        .purges
+        .purge_log
         .as_deref()
         .map(open_purge_log)
         .transpose()?;
--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -115,7 +115,7 @@
                 upstream.load_if_available(request_id, &self.request_table, &self.limits)?;
             Some(Candidate {
                 has_no_cancelled_attempt: !upstream.cancelled_recently(request_id),
-                is_connecting: !transport.connected,
+                is_connecting: !transport.is_connected,
                 attempts_in_flight,
                 key: *key,
             })
@@ -136,7 +136,7 @@
         let has_spare_slots = self.connections.free_slots() > self.limits.spare_connections;
         let is_connected = |key: &SlabKey| {
             let connection = self.connections.get(*key);
-            connection.is_some_and(|connection| connection.transport.connected)
+            connection.is_some_and(|connection| connection.transport.is_connected)
         };
         is_shared
             && has_spare_slots
@@ -204,8 +204,8 @@
             let mut events = Vec::new();
             let is_usable = upstream.cancel(now, attempt, transport, &mut events);
             self.report_upstream_events(now, server, events);
-            self.timers.set(
-                now + self.limits.stream_memory_us,
+            self.timers.schedule(
+                now + self.limits.stream_retention_us,
                 TimerEvent::CheckUpstream(key),
             );
             let flushed = if is_usable {
--- a/crates/proxy/src/event_loop/upstreams/mod.rs
+++ b/crates/proxy/src/event_loop/upstreams/mod.rs
@@ -63,10 +63,10 @@
         let mut events = Vec::new();
         let result = upstream.read(now, transport, &self.request_table, &mut events);
         if events.iter().any(UpstreamEvent::is_not_final) {
-            // The connection remembers such an attempt for `stream_memory_us`. The check removes it
-            // after that time.
-            self.timers.set(
-                now + self.limits.stream_memory_us + 1,
+            // The connection remembers such an attempt for `stream_retention_us`. The check removes
+            // it after that time.
+            self.timers.schedule(
+                now + self.limits.stream_retention_us + 1,
                 TimerEvent::CheckUpstream(key),
             );
         }
@@ -76,12 +76,12 @@
 
     /// Reads the answers that a server sent before its connection broke. They are still used.
     pub(in crate::event_loop) fn read_remaining_answers(&mut self, now: Micros, key: SlabKey) {
-        for _ in 0..self.limits.reads_after_close {
+        for _ in 0..self.limits.max_reads_after_close {
             let is_readable =
                 self.connections
                     .upstream(key)
                     .is_some_and(|(transport, upstream)| {
-                        transport.connected && upstream.is_readable(now, &self.limits)
+                        transport.is_connected && upstream.is_readable(now, &self.limits)
                     });
             let Some((transport, _)) = self.connections.upstream_mut(key).filter(|_| is_readable)
             else {
@@ -121,13 +121,13 @@
         let answer_timeout_at = upstream
             .partial_answer_deadline(&self.limits)
             .filter(|_| is_usable);
-        let has_output = transport.connected && !transport.output.is_empty();
+        let has_output = transport.is_connected && !transport.output.is_empty();
         let write_timeout_at = has_output.then_some(now + self.limits.server_write_timeout_us);
         for at in [cancellation_report_at, answer_timeout_at, write_timeout_at]
             .into_iter()
             .flatten()
         {
-            self.timers.set(at, TimerEvent::CheckUpstream(key));
+            self.timers.schedule(at, TimerEvent::CheckUpstream(key));
         }
         // A server that is draining or gone gets no new attempts. Its connections are closed once
         // all pending answers have arrived. If its machine has vanished, nothing else would close
@@ -173,7 +173,7 @@
             }
         }
         let mut events = Vec::new();
-        upstream.close(transport.connected, transport.bytes_written, &mut events);
+        upstream.close(transport.is_connected, transport.bytes_written, &mut events);
         self.report_upstream_events(now, server, events);
     }
 
--- a/crates/proxy/src/event_loop/upstreams/parked.rs
+++ b/crates/proxy/src/event_loop/upstreams/parked.rs
@@ -49,19 +49,19 @@
             first_tried_at,
         });
         if !std::mem::replace(&mut parked.retry_scheduled, true) {
-            self.timers.set(
-                now + self.limits.local_retry_us,
+            self.timers.schedule(
+                now + self.limits.local_error_retry_interval_us,
                 TimerEvent::RetryParkedAttempts,
             );
         }
     }
 
     /// Tries to send the parked attempts again. An attempt that has been parked for longer than
-    /// `Limits::local_failure_patience_us` ends as not sent.
+    /// `Limits::local_error_timeout_us` ends as not sent.
     pub(in crate::event_loop) fn retry_parked_attempts(&mut self, now: Micros) {
         self.upstream_connections.parked.retry_scheduled = false;
         for parked in std::mem::take(&mut self.upstream_connections.parked.attempts) {
-            if now < parked.first_tried_at + self.limits.local_failure_patience_us {
+            if now < parked.first_tried_at + self.limits.local_error_timeout_us {
                 self.send_attempt_first_tried_at(now, parked.attempt, parked.first_tried_at);
             } else {
                 self.request_table
--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -240,7 +240,7 @@
     }
 
     fn remaining_us(&self, limits: &Limits) -> Result<Micros, InvalidParameter> {
-        let maximum_ms = limits.client_budget_us / MICROS_PER_MILLISECOND;
+        let maximum_ms = limits.max_client_timeout_us / MICROS_PER_MILLISECOND;
         let budget_ms = self
             .number(Parameter::BudgetMs, 1, maximum_ms)?
             .ok_or(InvalidParameter::Missing(Parameter::BudgetMs))?;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,14 +1,16 @@
-//! The edge proxy: the routing decisions of `edge-routing` on real sockets, in one thread with one
-//! epoll loop.
+//! The edge proxy. It carries out the routing decisions of `edge-routing` on real sockets, in a
+//! single thread with one epoll loop.
 //!
 //! - `event_loop` owns the sockets and timers and connects all other modules.
-//! - `request_table` holds the open requests and their attempts, and drives the routing decisions.
-//! - `frontend` and `upstream` translate between the request table and the protocols of clients
-//!   and cache servers.
-//! - `discovery` reads the endpoint list and the purges.
-//! - `protocol` holds the codecs, `net` sockets, buffers and timers, `sys` the system calls.
-//! - `config` reads the configuration, `limits` derives every bound from it.
-//! - `invariants` counts what must hold at every step, and the violations.
+//! - `request_table` holds the open requests and their attempts, and calls the routing module.
+//! - `frontend` and `upstream` translate between the request table and the protocols of clients and
+//!   cache servers.
+//! - `discovery` reads the endpoint list and purges.
+//! - `protocol` contains the codecs.
+//! - `net` contains buffered sockets and timers, and `sys` wraps the system calls.
+//! - `config` reads the configuration.
+//! - `limits` defines the sizes, counts and times that bound the proxy.
+//! - `invariants` counts the invariant checks and their violations.
 
 pub mod config;
 pub mod discovery;
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -1,186 +1,193 @@
-//! Every size, count and time that bounds the proxy, in one type that is filled at the start.
+//! All sizes, counts and times that bound the proxy, in one type that is filled in at startup.
 //!
-//! Names end in their unit: `_us` is microseconds, `_bytes` bytes, `_kb` KB. A field without a unit
-//! is a count.
+//! The name of a field ends with its unit: `_us` for microseconds, `_bytes` for bytes, `_kb` for
+//! KB. A field without a unit is a count.
 
 use edge_routing::Micros;
 
-/// Bounds on what the proxy holds and waits for.
+/// Limits on the resources that the proxy uses and on the times that it waits. Counts and sizes are
+/// maximums, unless their comments say otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     // ---- File descriptors and connections ----
-    /// File descriptors of the process.
+    /// File descriptors that the process may open.
     pub descriptors: usize,
-    /// Connections from clients. The other descriptors are for cache servers, the event bus and the
-    /// process itself.
+    /// Connections from clients. The other descriptors are left for cache servers, the event bus
+    /// and the process itself.
     pub client_connections: usize,
-    /// Connections of any kind: clients, cache servers, event bus, Consul, peer CDNs.
+    /// Connections in total: to clients, cache servers, the event bus, Consul and peer CDNs.
     pub connections: usize,
-    /// Slots of the connection table that further connections to a cache server leave free, so that
-    /// every server can get its first one.
+    /// Slots of the connection table that are reserved for the first connection to each cache
+    /// server. Further connections to a server must leave this many slots free.
     pub spare_connections: usize,
-    /// How long to wait before accepting again after no descriptor was left.
-    pub accept_retry_us: Micros,
-    /// How long to wait before a step is tried again that failed for want of a descriptor, memory, a
-    /// port or a route. Watching a socket is one.
-    pub local_retry_us: Micros,
-    /// An attempt for which no connection could be opened for such a reason is given up after this
-    /// long.
-    pub local_failure_patience_us: Micros,
+    /// How long the proxy waits before it accepts connections again after running out of file
+    /// descriptors.
+    pub accept_retry_interval_us: Micros,
+    /// How long the proxy waits before it retries a step that failed because no file descriptor,
+    /// memory, port or route was available. An example of such a step is watching a socket.
+    pub local_error_retry_interval_us: Micros,
+    /// An attempt is abandoned if no connection could be opened for it for this long, for one of
+    /// these reasons.
+    pub local_error_timeout_us: Micros,
 
-    // ---- Client connections: how long they last ----
-    /// How often a client connection is checked against the times below.
-    pub client_sweep_us: Micros,
-    /// A client connection that has sent no request, or none that is complete, is closed after this
-    /// long.
+    // ---- Timeouts of client connections ----
+    /// How often a client connection is checked for the timeouts below.
+    pub client_check_interval_us: Micros,
+    /// A client connection on which no complete request has arrived is closed after this long.
     pub client_request_timeout_us: Micros,
-    /// A client connection on which everything is answered is closed after this long: longer than
-    /// usual clients keep one.
+    /// A client connection whose requests are all answered is closed after this long. Ordinary
+    /// clients close an idle connection earlier.
     pub client_idle_timeout_us: Micros,
-    /// A client connection that takes none of its answers for this long is closed.
+    /// A client connection is closed if the client accepts no bytes of its answers for this long.
     pub client_write_timeout_us: Micros,
-    /// After the writing side of a client connection is shut, input is read and dropped for this
-    /// long: input that is under way at a close would make the kernel reset the connection and lose
-    /// answers not yet received.
+    /// After the writing half of a client connection is shut down, input is read and dropped for
+    /// this long. Input that arrives after a close would make the kernel reset the connection,
+    /// which loses answers that the client has not received yet.
     pub lingering_close_us: Micros,
-    /// Input that is dropped during a lingering close, at most.
+    /// Input that is dropped during a lingering close before the connection is closed.
     pub lingering_close_bytes: usize,
-    /// A client connection is not closed to make room for another within this long of its last
-    /// change: it may be about to be used.
-    pub eviction_immunity_us: Micros,
+    /// A client connection is not closed to make room for another until this long after its last
+    /// change, because the client may be about to use it.
+    pub eviction_grace_us: Micros,
 
     // ---- Requests of clients ----
-    /// Requests open at a time.
+    /// Open requests.
     pub open_requests: usize,
-    /// Requests open on one client connection.
+    /// Open requests on one client connection.
     pub requests_per_client: usize,
-    /// The same, once half of the request table is taken: one client must leave room for the
-    /// others.
-    pub requests_per_client_when_crowded: usize,
-    /// Parameters of one request.
+    /// Open requests on one client connection while the request table is at least half full, so
+    /// that one client leaves room for the others.
+    pub requests_per_client_when_half_full: usize,
+    /// Size of the parameters of one request.
     pub params_bytes: usize,
-    /// Body of one request.
+    /// Size of the body of one request.
     pub body_bytes: usize,
-    /// Bodies of all open requests.
+    /// Total size of the bodies of all open requests.
     pub total_body_bytes: usize,
-    /// All requests that are partially received.
+    /// Total size of all partially received requests.
     pub partial_request_bytes: usize,
-    /// A request that waited unread for longer than this has so much less time left, and what else
-    /// its client has sent is read before it is admitted: it may be a cancellation.
+    /// If a request waited unread for longer than this, the wait is subtracted from its time limit,
+    /// and the client's further input, which may contain a cancellation, is read before the request
+    /// is admitted.
     pub unread_tolerance_us: Micros,
-    /// Reads of a client that was read late, at most, before its requests are admitted.
-    pub late_reads: usize,
-    /// The longest time that a client may say it waits for an answer.
-    pub client_budget_us: Micros,
-    /// The highest number of a part that a client may ask for.
+    /// Reads of such further input of a client before its requests are admitted.
+    pub max_late_reads: usize,
+    /// The longest time that a client may state as its time limit for an answer.
+    pub max_client_timeout_us: Micros,
+    /// The highest part number that a client may request.
     pub max_part: u64,
-    /// The largest size of a part that a client may state.
+    /// The largest part size that a client may state.
     pub max_size_kb: f64,
 
     // ---- Answers to clients ----
-    /// Answers of any kind that wait for one client to take them.
+    /// Answers of any kind that are queued for one client.
     pub unsent_answers_per_client: usize,
-    /// Answers that wait for slow clients, over all connections.
+    /// Total size of the answers that are queued for clients, over all connections.
     pub unsent_answer_bytes: usize,
-    /// A final answer is sent this long before the client gives up, since it takes time to arrive.
+    /// A final answer is sent this long before the client's time limit, because it takes time to
+    /// arrive.
     pub answer_lead_us: Micros,
-    /// How often an open request is checked until its deadline. A check at the deadline alone would
-    /// keep requests in memory that ended long before.
-    pub deadline_sweep_us: Micros,
-    /// The retry advice to a client whose request found the request table full.
+    /// How often an open request is checked before its deadline. With a check only at the deadline,
+    /// requests that ended long before would stay in memory until then.
+    pub deadline_check_interval_us: Micros,
+    /// The Retry-After for a request that is rejected because the request table is full.
     pub retry_after_us: Micros,
 
     // ---- Buffers ----
-    /// Ring buffer of a connection for input.
+    /// Size of the input buffer of a connection.
     pub input_buffer_bytes: usize,
-    /// Ring buffer of a connection for output.
+    /// Size of the output buffer of a connection.
     pub output_buffer_bytes: usize,
-    /// A line of text, a header section, or the message head of a peer CDN.
+    /// Size of a line of text, a header section, or the message head of a peer CDN.
     pub line_bytes: usize,
 
     // ---- Connections to cache servers ----
     /// Connections to one cache server.
     pub connections_per_server: usize,
-    /// A further connection to a cache server is opened once the least used one has this many
-    /// attempts in flight.
+    /// A further connection to a cache server is opened once its least used connection has this
+    /// many attempts in flight.
     pub attempts_before_new_connection: usize,
     /// Attempts in flight on one connection.
     pub attempts_per_connection: usize,
-    /// A connection, of any kind that the proxy opens, must be established within this; one to the
-    /// event bus stays open beside a further try.
+    /// An outgoing connection of any kind must be established within this time. Only a connection
+    /// to the event bus stays open for longer, in parallel with a new one.
     pub connect_timeout_us: Micros,
-    /// A connection on which a cache server sends nothing for this long, while an answer is due,
-    /// counts as unresponsive: the machine may be gone or cut off.
+    /// A connection to a cache server counts as unresponsive if nothing arrives on it for this long
+    /// although an answer is expected. The machine may be down or unreachable.
     pub unresponsive_after_us: Micros,
-    /// A connection on which a cache server takes none of the output for this long is closed.
+    /// A connection is closed if the cache server accepts no bytes of the output for this long.
     pub server_write_timeout_us: Micros,
-    /// Reads of what a cache server had sent before its connection broke, at most.
-    pub reads_after_close: usize,
+    /// Reads of the remaining input from a cache server after its connection broke.
+    pub max_reads_after_close: usize,
 
     // ---- Answers of cache servers ----
-    /// Body of an answer.
+    /// Size of the body of an answer.
     pub object_bytes: usize,
-    /// An answer that has begun and brings nothing more for this long is incomplete.
+    /// A partially received answer counts as incomplete if nothing more arrives for this long.
     pub partial_answer_timeout_us: Micros,
-    /// An answer that no request waits for may take this long: answers behind it on the connection
-    /// have to wait.
+    /// An answer that no request waits for may take this long. It delays the answers behind it on
+    /// the connection.
     pub unawaited_answer_timeout_us: Micros,
-    /// A cancelled attempt counts as ended this long after the cancellation was written, which
-    /// takes time to arrive.
-    pub cancel_settle_us: Micros,
-    /// The id of a cancelled attempt is remembered on its connection for this long, to recognise a
-    /// late answer.
-    pub stream_memory_us: Micros,
+    /// A cancelled attempt counts as ended this long after the cancellation was written, because
+    /// the cancellation takes time to arrive.
+    pub cancel_settle_delay_us: Micros,
+    /// The id of a cancelled or answered attempt is remembered on its connection for this long, to
+    /// recognise a late answer.
+    pub stream_retention_us: Micros,
 
-    // ---- Discovery: event bus, Consul, purge gossip ----
-    /// A whole endpoint list: a response of Consul, or an event of the event bus.
+    // ---- Discovery by event bus, Consul and purge gossip ----
+    /// Size of a whole endpoint list, in a response from Consul or an event from the event bus.
     pub endpoint_list_bytes: usize,
     /// An event bus connection on which nothing arrives for this long is replaced.
-    pub event_bus_silence_us: Micros,
-    /// How long to wait before connecting to the event bus or Consul again, after the first failure;
-    /// at least half of that. The wait grows with further ones.
+    pub event_bus_idle_timeout_us: Micros,
+    /// The delay before the proxy reconnects to the event bus or queries Consul again after a first
+    /// failure. Jitter shortens a delay by up to half. The delay doubles with each further failure.
     pub reconnect_delay_us: Micros,
-    /// The longest such wait. It is shorter than the grace period in which requests may still go to a
-    /// server that drains: what is told in the moment in which a source is back is heard in time.
+    /// The maximum of this delay. It is shorter than the grace period in which requests may still
+    /// be sent to a draining server, so that updates are received in time if they are published as
+    /// soon as a source recovers.
     pub max_reconnect_delay_us: Micros,
-    /// A connection to the event bus that is slow to come up or to answer is kept open for this long
-    /// beside the one that is tried meanwhile.
-    pub event_bus_patience_us: Micros,
-    /// Consul must answer a query within this, its wait for a change included.
+    /// A connection to the event bus that is slow to be established or to respond is kept open for
+    /// this long, in parallel with a new connection.
+    pub event_bus_response_timeout_us: Micros,
+    /// Consul must respond to a query within this time, which includes its wait for a change.
     pub consul_timeout_us: Micros,
-    /// How long to wait before a gossip datagram is repeated, since any of them may be lost.
-    pub gossip_repeat_us: Micros,
-    /// Purges that cache servers are not notified of and that therefore hold for good.
+    /// The delay before a gossip datagram is repeated, because any datagram may be lost. Also the
+    /// base of the backoff between attempts to deliver a notification to a peer CDN.
+    pub gossip_repeat_delay_us: Micros,
+    /// Purges that are enforced for as long as the proxy runs, because cache servers are not
+    /// notified of them.
     pub permanent_purges: usize,
-    /// How long to wait before purges are written to the purge log that could not be.
-    pub purge_log_retry_us: Micros,
+    /// The delay before the proxy retries writing to the purge log after a failure.
+    pub purge_log_retry_interval_us: Micros,
 
     // ---- Interconnect with peer CDNs ----
-    /// Trigger status resources.
+    /// Number of trigger status resources.
     pub triggers: usize,
     /// Notifications to peer CDNs in flight.
     pub notifications: usize,
-    /// Attempts to deliver a notification.
+    /// Attempts to deliver one notification.
     pub notification_attempts: u32,
-    /// A peer CDN must have taken a notification within this.
+    /// A peer CDN must accept a notification within this time.
     pub notification_timeout_us: Micros,
 
     // ---- Configuration ----
-    /// How long to wait before a configuration that could not be read is read again.
-    pub reload_retry_us: Micros,
-    /// A configuration that can't be read for this long after SIGHUP is given up.
-    pub reload_patience_us: Micros,
+    /// The delay before a configuration that could not be read is read again.
+    pub reload_retry_interval_us: Micros,
+    /// A reload is abandoned if the configuration can't be read for this long after SIGHUP.
+    pub reload_timeout_us: Micros,
 
-    // ---- Shutdown, counted from SIGTERM ----
-    /// New connections and requests are taken for this long. A later request has too little time
-    /// left before SIGKILL.
+    // ---- Shutdown: times since SIGTERM ----
+    /// New connections and requests are accepted for this long. A later request would have too
+    /// little time left before SIGKILL.
     pub shutdown_grace_us: Micros,
-    /// Requests that are still open are answered at this time: the process may be killed right
-    /// after.
+    /// Requests that are still open at this time are answered at once, because the process may be
+    /// killed right after.
     pub shutdown_deadline_us: Micros,
 
     // ---- Log ----
-    /// Log lines a second on how requests went. A flood of requests must not fill the log.
+    /// Log lines per second about the outcomes of requests. The limit keeps a flood of requests
+    /// from filling the log.
     pub log_lines_per_s: u32,
 }
 
@@ -189,61 +196,60 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// A restart waits for deadlines of requests up to this.
+/// A restart waits for the deadlines of open requests up to this length.
 const MAX_RESTART_DEADLINE_US: Micros = 3 * SECOND;
-/// From SIGTERM to SIGKILL there is the longest deadline and this.
+/// SIGKILL follows SIGTERM after the longest request deadline and this time.
 const RESTART_GRACE_US: Micros = 700 * MS;
-/// The last answers are given this long before SIGKILL.
+/// The last answers are sent this long before SIGKILL.
 const KILL_LEAD_US: Micros = 50 * MS;
 
-/// Descriptors that are neither in the connection table nor free: listeners, signals, files, and a
-/// reserve.
+/// File descriptors outside the connection table, for listeners, signals and files, with a reserve.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Connections beyond those of clients that even the smallest machine has.
+/// Number of connections other than to clients that even the smallest machine allows.
 const MIN_OTHER_CONNECTIONS: usize = 16;
-/// The memory that sizes are derived from on a machine that has less.
+/// Limits are derived from at least this much memory, even on a machine that has less.
 const MIN_MEMORY_MB: usize = 16;
-/// Requests open at a time on a machine with enough memory.
+/// Limit of open requests on a machine with enough memory.
 const MAX_OPEN_REQUESTS: usize = 8192;
-/// Memory of the machine for each open request.
+/// The machine must have this much memory for each open request.
 const MEMORY_PER_OPEN_REQUEST_BYTES: usize = 16 * KIB;
 
-/// The bounds of a machine with 1,024 descriptors and 192 MB. Those that depend on the machine are
-/// replaced by [`Limits::for_machine`].
+/// The limits of a machine with 1,024 file descriptors and 192 MB of memory.
+/// [`Limits::for_machine`] replaces those that depend on the machine.
 const DEFAULT_MACHINE: Limits = Limits {
     descriptors: 1024,
     client_connections: 614,
     connections: 1000,
     spare_connections: 16,
-    accept_retry_us: 20 * MS,
-    local_retry_us: 10 * MS,
-    local_failure_patience_us: 500 * MS,
+    accept_retry_interval_us: 20 * MS,
+    local_error_retry_interval_us: 10 * MS,
+    local_error_timeout_us: 500 * MS,
 
-    client_sweep_us: 500 * MS,
+    client_check_interval_us: 500 * MS,
     client_request_timeout_us: 2 * SECOND,
     client_idle_timeout_us: 5 * SECOND,
     client_write_timeout_us: 10 * SECOND,
     lingering_close_us: 500 * MS,
     lingering_close_bytes: 256 * KIB,
-    eviction_immunity_us: 150 * MS,
+    eviction_grace_us: 150 * MS,
 
     open_requests: MAX_OPEN_REQUESTS,
     requests_per_client: 32,
-    requests_per_client_when_crowded: 4,
+    requests_per_client_when_half_full: 4,
     params_bytes: 16 * KIB,
     body_bytes: 48_000,
     total_body_bytes: 48 * MIB,
     partial_request_bytes: 24 * MIB,
     unread_tolerance_us: 20 * MS,
-    late_reads: 16,
-    client_budget_us: 120 * SECOND,
+    max_late_reads: 16,
+    max_client_timeout_us: 120 * SECOND,
     max_part: 65_535,
     max_size_kb: 1e6,
 
     unsent_answers_per_client: 256,
     unsent_answer_bytes: 48 * MIB,
     answer_lead_us: 10 * MS,
-    deadline_sweep_us: SECOND,
+    deadline_check_interval_us: SECOND,
     retry_after_us: 200 * MS,
 
     input_buffer_bytes: 16 * KIB,
@@ -256,31 +262,31 @@
     connect_timeout_us: 400 * MS,
     unresponsive_after_us: SECOND,
     server_write_timeout_us: 500 * MS,
-    reads_after_close: 64,
+    max_reads_after_close: 64,
 
     object_bytes: 512 * KIB,
     partial_answer_timeout_us: 150 * MS,
     unawaited_answer_timeout_us: SECOND,
-    cancel_settle_us: 5 * MS,
-    stream_memory_us: 5 * SECOND,
+    cancel_settle_delay_us: 5 * MS,
+    stream_retention_us: 5 * SECOND,
 
     endpoint_list_bytes: MIB,
-    event_bus_silence_us: 2 * SECOND,
+    event_bus_idle_timeout_us: 2 * SECOND,
     reconnect_delay_us: 100 * MS,
     max_reconnect_delay_us: 240 * MS,
-    event_bus_patience_us: 20 * SECOND,
+    event_bus_response_timeout_us: 20 * SECOND,
     consul_timeout_us: 20 * SECOND,
-    gossip_repeat_us: 40 * MS,
+    gossip_repeat_delay_us: 40 * MS,
     permanent_purges: 20_000,
-    purge_log_retry_us: 200 * MS,
+    purge_log_retry_interval_us: 200 * MS,
 
     triggers: 1024,
     notifications: 64,
     notification_attempts: 3,
     notification_timeout_us: SECOND,
 
-    reload_retry_us: 50 * MS,
-    reload_patience_us: 10 * SECOND,
+    reload_retry_interval_us: 50 * MS,
+    reload_timeout_us: 10 * SECOND,
 
     shutdown_grace_us: 700 * MS,
     shutdown_deadline_us: MAX_RESTART_DEADLINE_US + RESTART_GRACE_US - KILL_LEAD_US,
@@ -289,7 +295,7 @@
 };
 
 impl Limits {
-    /// The bounds that fit a machine with this many descriptors and MB of memory.
+    /// Returns the limits of a machine with this many file descriptors and MB of memory.
     pub fn for_machine(descriptors: usize, memory_mb: usize) -> Self {
         let client_connections = (descriptors.saturating_mul(3) / 5).max(1);
         let memory_bytes = memory_mb.max(MIN_MEMORY_MB).saturating_mul(MIB);
@@ -307,20 +313,20 @@
         }
     }
 
-    /// When requests that are still open are answered after SIGTERM, given the longest deadline of
-    /// all classes.
+    /// Returns how long after SIGTERM the requests that are still open are answered, given the
+    /// longest deadline of all classes.
     pub fn shutdown_deadline_us(longest_deadline_us: Micros) -> Micros {
         longest_deadline_us.min(MAX_RESTART_DEADLINE_US) + RESTART_GRACE_US - KILL_LEAD_US
     }
 
-    /// Whether a client connection may open one more request, where it has this many unanswered
-    /// ones, the new one included. `crowded` says that half of the request table is taken.
-    pub fn admits(&self, unanswered: usize, crowded: bool) -> bool {
-        let most = if crowded {
-            self.requests_per_client_when_crowded
+    /// Returns whether a client connection may have `unanswered` open requests.
+    /// `is_table_half_full` says whether at least half of the request table is in use.
+    pub fn allows_open_requests(&self, unanswered: usize, is_table_half_full: bool) -> bool {
+        let limit = if is_table_half_full {
+            self.requests_per_client_when_half_full
         } else {
             self.requests_per_client
         };
-        unanswered <= most
+        unanswered <= limit
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The edge proxy's program.
+//! The `edge-proxy` program.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/net/clock.rs
+++ b/crates/proxy/src/net/clock.rs
@@ -1,27 +1,28 @@
-//! Unix time in microseconds that never steps back.
+//! A monotonic clock that reads Unix time in microseconds.
 
 use crate::sys;
 use std::time::Instant;
 
-/// The system's Unix clock at the start, advanced by its monotonic clock. Deadlines and the ages of
-/// purges share this scale, and a step of the system's clock moves neither.
+/// Unix time, read from the system once and advanced by the monotonic clock from then on. Deadlines
+/// and the ages of purges are measured on this scale, so that a step of the system clock changes
+/// neither.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix_us: u64,
-    start: Instant,
+    started_at_unix_us: u64,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that starts at the system's Unix time.
+    /// Starts a clock at the system's current Unix time.
     pub fn start() -> Self {
         Clock {
-            unix_us: sys::unix_time_us(),
-            start: Instant::now(),
+            started_at_unix_us: sys::unix_time_us(),
+            started_at: Instant::now(),
         }
     }
 
-    /// Unix time in microseconds.
+    /// Returns the Unix time in microseconds. Successive values never decrease.
     pub fn now(&self) -> u64 {
-        self.unix_us + self.start.elapsed().as_micros() as u64
+        self.started_at_unix_us + self.started_at.elapsed().as_micros() as u64
     }
 }
--- a/crates/proxy/src/net/connection.rs
+++ b/crates/proxy/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! A non-blocking TCP socket with a buffer for each direction.
+//! A non-blocking TCP socket with a buffer for each direction of the connection.
 
 use super::poll::{Interest, Poller};
 use super::ring_buffer::RingBuffer;
@@ -6,100 +6,112 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// A non-blocking socket with what was received and what is still to be sent.
+/// A non-blocking socket with the received bytes that are not consumed and the bytes to be sent.
 pub struct BufferedSocket {
     socket: TcpStream,
-    /// Received and not consumed yet.
+    /// Bytes that are received and not consumed yet.
     pub input: RingBuffer,
-    /// To be sent.
+    /// Bytes to be sent.
     pub output: RingBuffer,
-    /// Bytes written to the socket so far.
+    /// Number of bytes written to the socket so far.
     pub bytes_written: u64,
-    /// False while a connection that was opened from here is still being established.
-    pub connected: bool,
-    /// What the poller watches it for; none: it is not registered.
-    watched: Option<Interest>,
+    /// Whether the connection is established. False while an outgoing connection is being opened.
+    pub is_connected: bool,
+    /// The readiness that the poller reports; None if the socket is not registered.
+    watched_interest: Option<Interest>,
 }
 
-/// What a read or write achieved.
+/// The outcome of a read or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoProgress {
-    /// Some bytes were moved.
+    /// Some bytes were transferred.
     Advanced,
-    /// Nothing can be moved for now.
+    /// The socket is not ready.
     WouldBlock,
-    /// The system could not move anything for now, though the socket may be ready.
+    /// The call failed temporarily, for example for lack of kernel memory. The socket is sound and
+    /// may be ready.
     Postponed,
-    /// The peer has ended its half of the connection.
+    /// The peer has closed its half of the connection.
     PeerClosed,
     /// The connection is broken.
     Broken,
 }
 
-/// Classifies the result of a system call; `on_zero` is what 0 bytes mean for it.
+/// Classifies the result of a system call. `on_zero` is the outcome if it transferred 0 bytes.
 fn classify(result: io::Result<usize>, on_zero: IoProgress) -> IoProgress {
     match result {
         Ok(0) => on_zero,
         Ok(_) => IoProgress::Advanced,
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => IoProgress::WouldBlock,
-        // The kernel may have no memory for the moment: the socket is sound, and reported again.
-        Err(e) if errors::is_momentary_on_socket(&e) => IoProgress::Postponed,
+        // The kernel may temporarily have no memory. The socket is sound, and epoll reports it
+        // again.
+        Err(e) if errors::is_transient_on_socket(&e) => IoProgress::Postponed,
         Err(_) => IoProgress::Broken,
     }
 }
 
-/// Opens a connection without waiting until it is established.
+/// Starts to open a connection, without waiting until it is established.
+/// [`BufferedSocket::finish_connect`] returns the outcome.
 ///
 /// # Errors
 ///
-/// Any error of the system calls; [`BufferedSocket::finish_connect`] tells how the connection came
-/// out.
-pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
-    let socket = sys::new_tcp_socket(to)?;
-    sys::connect(&socket, to)?;
+/// Returns an error if a system call fails.
+pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = sys::new_tcp_socket(address)?;
+    sys::connect(&socket, address)?;
     Ok(socket)
 }
 
 impl BufferedSocket {
-    /// Takes over a socket. One that [`connect`] opened is not `connected` yet. `input` and
-    /// `output` bound the buffers, in bytes.
+    /// Takes over a socket and makes it non-blocking. `is_connected` must be false for a socket
+    /// from [`connect`]. `input_bytes` and `output_bytes` are the capacities of the buffers.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket can't be made non-blocking.
     pub fn new(
         socket: TcpStream,
-        connected: bool,
-        input: usize,
-        output: usize,
+        is_connected: bool,
+        input_bytes: usize,
+        output_bytes: usize,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        // Small answers must not wait for the acknowledgement of earlier ones. Without this they are
-        // late, not lost.
+        // Without TCP_NODELAY, a small answer waits until the peer acknowledges earlier ones. This
+        // delays answers but loses none, so the connection is usable if the option can't be set.
         if let Err(e) = socket.set_nodelay(true) {
-            log::debug!("a connection keeps small writes back: {e}");
+            log::debug!(
+                "cannot set TCP_NODELAY, small writes on the connection may be delayed: {e}"
+            );
         }
-        let (input, output) = (RingBuffer::new(input), RingBuffer::new(output));
+        let (input, output) = (RingBuffer::new(input_bytes), RingBuffer::new(output_bytes));
         Ok(BufferedSocket {
             socket,
             input,
             output,
             bytes_written: 0,
-            connected,
-            watched: None,
+            is_connected,
+            watched_interest: None,
         })
     }
 
-    /// How opening a connection came out, once the socket is writable.
+    /// Finishes opening a connection. Called once the socket is writable.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error with which the connection attempt failed.
     pub fn finish_connect(&mut self) -> io::Result<()> {
         sys::socket_error(&self.socket)?;
-        self.connected = true;
+        self.is_connected = true;
         Ok(())
     }
 
-    /// Reads once. A full buffer reads nothing, so that the peer has to wait. `broken`: epoll has
-    /// reported the connection as broken.
-    pub fn read(&mut self, broken: bool) -> IoProgress {
+    /// Reads once. If the input buffer is full, reads nothing, so that the peer has to wait.
+    /// `is_broken` says whether epoll has reported the connection as broken.
+    pub fn read(&mut self, is_broken: bool) -> IoProgress {
         if self.input.free_space() == 0 {
-            // epoll goes on reporting a broken connection whatever the interest: the loop would
-            // spin for as long as the buffer stays full, and there is no peer left to answer.
-            return if broken {
+            // epoll keeps reporting a broken connection, whatever the interest. The event loop
+            // would spin for as long as the buffer stays full, and no peer is left to answer.
+            return if is_broken {
                 IoProgress::Broken
             } else {
                 IoProgress::WouldBlock
@@ -111,10 +123,10 @@
         )
     }
 
-    /// Writes until nothing is left or the socket takes no more.
+    /// Writes until the output buffer is empty or the socket accepts no more bytes.
     pub fn write(&mut self) -> IoProgress {
         let mut progress = IoProgress::WouldBlock;
-        while self.connected && !self.output.is_empty() {
+        while self.is_connected && !self.output.is_empty() {
             let result = self.output.write_to(&mut sys::Stream(&self.socket));
             self.bytes_written += *result.as_ref().unwrap_or(&0) as u64;
             match classify(result, IoProgress::WouldBlock) {
@@ -126,31 +138,32 @@
         progress
     }
 
-    /// Closes the writing half: the peer sees the end after all that was written. Unsent bytes are
-    /// dropped.
+    /// Closes the writing half of the connection and drops the output buffer. The peer sees the end
+    /// of the stream after the bytes that were already written to the socket.
     pub fn shut_down_writes(&mut self) -> io::Result<()> {
         self.output.clear();
         sys::shut_down_writes(&self.socket)
     }
 
-    /// Has a poller watch the socket for what the connection needs now: reading while there is room
-    /// for input, writing while there is output, and until a connection that was opened from here is
-    /// established.
+    /// Registers the socket with a poller, or updates its registration, for the readiness that the
+    /// connection needs now. It needs readability while the input buffer has free space, and
+    /// writability while there is output or an outgoing connection is being opened.
     ///
     /// # Errors
     ///
-    /// The poller could not be told. It goes on as before; the next call tries again.
+    /// Returns an error if the registration can't be changed. The earlier registration stays in
+    /// force, and the next call tries again.
     pub fn watch(&mut self, poller: &Poller, token: u64) -> io::Result<()> {
-        let wanted = Interest {
+        let interest = Interest {
             readable: self.input.free_space() > 0,
-            writable: !self.connected || !self.output.is_empty(),
+            writable: !self.is_connected || !self.output.is_empty(),
         };
-        match self.watched {
-            Some(watched) if watched == wanted => return Ok(()),
-            Some(_) => poller.change(&self.socket, token, wanted)?,
-            None => poller.add(&self.socket, token, wanted)?,
+        match self.watched_interest {
+            Some(watched) if watched == interest => return Ok(()),
+            Some(_) => poller.change(&self.socket, token, interest)?,
+            None => poller.add(&self.socket, token, interest)?,
         }
-        self.watched = Some(wanted);
+        self.watched_interest = Some(interest);
         Ok(())
     }
 }
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets without a runtime: epoll, connections, buffers, a keyed table, timers and the clock.
+//! Networking without an async runtime: epoll, buffered sockets, a table with generational keys,
+//! timers and a monotonic clock.
 
 mod clock;
 mod connection;
--- a/crates/proxy/src/net/poll.rs
+++ b/crates/proxy/src/net/poll.rs
@@ -1,34 +1,34 @@
-//! Readiness of sockets, by epoll.
+//! Readiness of sockets, reported by epoll.
 
 use crate::sys;
 use rustix::event::{epoll, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
 use std::io;
 
-/// What a socket is watched for.
+/// The kinds of readiness that epoll reports for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Report when it is readable.
+    /// Report when the socket is readable.
     pub readable: bool,
-    /// Report when it is writable.
+    /// Report when the socket is writable.
     pub writable: bool,
 }
 
 impl Interest {
-    /// Nothing is reported but a broken connection, and the end of the peer's half.
+    /// Reports only a broken connection and that the peer has closed its half.
     pub const NONE: Interest = Interest {
         readable: false,
         writable: false,
     };
-    /// Readability alone.
+    /// Reports readability, besides what [`NONE`](Self::NONE) reports.
     pub const READ: Interest = Interest {
         readable: true,
         writable: false,
     };
 
     fn event_flags(self) -> epoll::EventFlags {
-        // The end of the peer's half is reported in any case: behind a full buffer it would not be
-        // read for as long as that stays full.
+        // RDHUP is always reported. The proxy does not read while the input buffer is full, so it
+        // would not notice for that long that the peer has closed its half.
         let mut flags = epoll::EventFlags::RDHUP;
         flags.set(epoll::EventFlags::IN, self.readable);
         flags.set(epoll::EventFlags::OUT, self.writable);
@@ -36,29 +36,31 @@
     }
 }
 
-/// What epoll reports about one socket.
+/// The readiness of one socket, as reported by epoll.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
-    /// The token it was registered with.
+    /// The token with which the socket was registered.
     pub token: u64,
-    /// It is readable, its peer has closed, or it is broken.
-    pub read: bool,
-    /// It is writable, a connection attempt has ended, or it is broken.
-    pub write: bool,
-    /// It is broken, or both sides have closed it.
-    pub broken: bool,
-    /// Its peer has closed it, or at least its half of it. There may be input before that.
+    /// Whether the socket is readable, its peer has closed its half, or the connection is broken.
+    pub is_readable: bool,
+    /// Whether the socket is writable, its connection attempt has ended, or the connection is
+    /// broken.
+    pub is_writable: bool,
+    /// Whether the connection is broken or closed by both sides.
+    pub is_broken: bool,
+    /// Whether the peer has closed the connection or its half of it. Earlier input may still be
+    /// unread.
     pub peer_closed: bool,
 }
 
 impl Readiness {
-    /// A read that is attempted before epoll has reported anything.
+    /// Returns the readiness of a socket that is read before epoll has reported on it.
     pub fn readable(token: u64) -> Self {
         Readiness {
             token,
-            read: true,
-            write: false,
-            broken: false,
+            is_readable: true,
+            is_writable: false,
+            is_broken: false,
             peer_closed: false,
         }
     }
@@ -71,25 +73,25 @@
 }
 
 impl Poller {
-    /// An instance that reports at most `events` events per wait.
-    pub fn new(events: usize) -> io::Result<Self> {
+    /// Creates an instance that reports at most `max_events` events per wait.
+    pub fn new(max_events: usize) -> io::Result<Self> {
         Ok(Poller {
             fd: sys::epoll_create()?,
-            events: Vec::with_capacity(events),
+            events: Vec::with_capacity(max_events),
         })
     }
 
-    /// Registers a socket. It stays registered until it is closed.
+    /// Registers a socket. The socket stays registered until it is closed.
     pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
         sys::epoll_add(&self.fd, socket, token, interest.event_flags())
     }
 
-    /// Changes the interest in a registered socket.
+    /// Changes the kinds of readiness that are reported for a registered socket.
     pub fn change(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
         sys::epoll_modify(&self.fd, socket, token, interest.event_flags())
     }
 
-    /// Waits for events, at most `timeout_us` microseconds, and appends them to `ready`.
+    /// Waits for events, for at most `timeout_us` microseconds, and appends them to `ready`.
     pub fn wait(&mut self, timeout_us: u64, ready: &mut Vec<Readiness>) -> io::Result<()> {
         self.events.clear();
         let timeout = Timespec {
@@ -103,9 +105,9 @@
             let has = |bits| flags.intersects(bits);
             Readiness {
                 token: event.data.u64(),
-                read: has(epoll::EventFlags::IN | epoll::EventFlags::RDHUP | broken),
-                write: has(epoll::EventFlags::OUT | broken),
-                broken: has(broken),
+                is_readable: has(epoll::EventFlags::IN | epoll::EventFlags::RDHUP | broken),
+                is_writable: has(epoll::EventFlags::OUT | broken),
+                is_broken: has(broken),
                 peer_closed: has(epoll::EventFlags::RDHUP | broken),
             }
         }));
--- a/crates/proxy/src/net/ring_buffer.rs
+++ b/crates/proxy/src/net/ring_buffer.rs
@@ -1,11 +1,11 @@
-//! A ring buffer of bytes: one for each direction of a connection.
+//! A ring buffer of bytes. Each connection has one for each direction.
 
 use std::io::{self, Read, Write};
 
-/// A bounded ring of bytes.
+/// A bounded ring buffer of bytes.
 ///
-/// Memory is allocated with the first byte and grows with what is stored: hundreds of connections
-/// that send little may each be allowed much.
+/// Memory is allocated for the first byte and grows with the stored data, so that hundreds of
+/// connections that send little can each have a large capacity.
 pub struct RingBuffer {
     bytes: Vec<u8>,
     capacity: usize,
@@ -15,10 +15,10 @@
 }
 
 impl RingBuffer {
-    /// Smallest allocation, in bytes, unless the capacity is below it.
-    pub const MIN_ALLOCATION: usize = 1 << 10;
+    /// The smallest allocation, in bytes, unless the capacity is smaller.
+    pub const MIN_ALLOCATION_BYTES: usize = 1 << 10;
 
-    /// A buffer that stores at most `capacity` bytes.
+    /// Creates a buffer that stores at most `capacity` bytes, and at least one.
     pub fn new(capacity: usize) -> Self {
         RingBuffer {
             bytes: Vec::new(),
@@ -28,17 +28,17 @@
         }
     }
 
-    /// Number of stored bytes.
+    /// Returns the number of stored bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no byte is stored.
+    /// Returns whether the buffer stores no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Frees the memory of an empty buffer, so that many idle connections do not add up.
+    /// Frees the memory of the buffer if it is empty, so that idle connections hold no memory.
     pub fn release_memory(&mut self) {
         if self.len == 0 {
             self.bytes = Vec::new();
@@ -51,22 +51,22 @@
         self.consume(self.len);
     }
 
-    /// Bytes of memory that are allocated.
-    pub fn allocated(&self) -> usize {
+    /// Returns the number of allocated bytes.
+    pub fn allocated_bytes(&self) -> usize {
         self.bytes.len()
     }
 
-    /// How many more bytes can be stored.
+    /// Returns how many more bytes fit.
     pub fn free_space(&self) -> usize {
         self.capacity - self.len
     }
 
-    /// The longest contiguous run of stored bytes from the front.
+    /// Returns the longest contiguous run of stored bytes from the front.
     pub fn readable(&self) -> &[u8] {
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
-    /// Drops up to `count` bytes from the front.
+    /// Drops up to `count` stored bytes from the front.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
@@ -77,14 +77,14 @@
         };
     }
 
-    /// Allocates memory for `wanted` bytes in all, within the capacity.
-    fn grow(&mut self, wanted: usize) {
-        if wanted <= self.bytes.len() {
+    /// Allocates memory for a total of `min_bytes` bytes, up to the capacity.
+    fn grow(&mut self, min_bytes: usize) {
+        if min_bytes <= self.bytes.len() {
             return;
         }
-        let size = wanted
+        let size = min_bytes
             .next_power_of_two()
-            .max(Self::MIN_ALLOCATION)
+            .max(Self::MIN_ALLOCATION_BYTES)
             .min(self.capacity);
         let mut bytes = vec![0; size];
         let front = self.readable();
@@ -95,7 +95,7 @@
         self.head = 0;
     }
 
-    /// The longest contiguous run of allocated bytes that is free.
+    /// Returns the longest contiguous run of allocated bytes that are free.
     fn writable(&mut self) -> &mut [u8] {
         let size = self.bytes.len();
         let tail = (self.head + self.len) % size;
@@ -107,7 +107,7 @@
         &mut self.bytes[tail..end]
     }
 
-    /// Stores as many of `bytes` as fit. Returns how many.
+    /// Stores as many of `bytes` as fit. Returns how many were stored.
     pub fn push(&mut self, mut bytes: &[u8]) -> usize {
         let before = self.len;
         self.grow((self.len + bytes.len()).min(self.capacity));
@@ -121,21 +121,23 @@
         self.len - before
     }
 
-    /// Reads once into the free part. Returns 0 at the end of the stream, or if nothing fits.
-    pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<usize> {
+    /// Reads once from `source` into the free space. Returns the number of bytes read, which is 0
+    /// at the end of the stream or if the buffer is full.
+    pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<usize> {
         if self.free_space() == 0 {
             return Ok(0);
         }
-        // How much will come is unknown: a small allocation would only mean more reads.
+        // The amount of available input is unknown, and a small allocation would only cause more
+        // reads.
         self.grow(self.capacity);
-        let count = from.read(self.writable())?;
+        let count = source.read(self.writable())?;
         self.len += count;
         Ok(count)
     }
 
-    /// Writes once from the front. Returns how many bytes were written.
-    pub fn write_to(&mut self, to: &mut impl Write) -> io::Result<usize> {
-        let count = to.write(self.readable())?;
+    /// Writes once from the front of the buffer to `sink`. Returns how many bytes were written.
+    pub fn write_to(&mut self, sink: &mut impl Write) -> io::Result<usize> {
+        let count = sink.write(self.readable())?;
         self.consume(count);
         Ok(count)
     }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -1,5 +1,5 @@
-//! The edge proxy as a program: reads the configuration, runs the event loop, turns errors into a log
-//! line and an exit code.
+//! The main program of the edge proxy. It reads the configuration, runs the event loop, and reports
+//! an error as a log line and an exit code.
 
 use crate::config::{Config, ConfigError};
 use crate::event_loop::{EventLoop, Signals, StartError};
@@ -8,12 +8,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the start waits for a configuration that may be about to become readable.
-const CONFIGURATION_PATIENCE: Duration = Duration::from_secs(3);
-/// How long it waits before it reads it again.
-const CONFIGURATION_RETRY: Duration = Duration::from_millis(50);
+/// How long startup retries reading a configuration that can't be read temporarily.
+const CONFIGURATION_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long startup waits before it reads the configuration again.
+const CONFIGURATION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the proxy with the configuration that the environment names, until it is shut down.
+/// Runs the proxy until it is shut down, with the configuration that the environment names. Returns
+/// the exit code of the process.
 pub fn run() -> ExitCode {
     let log_level = env_logger::Env::default().default_filter_or("info");
     env_logger::Builder::from_env(log_level).init();
@@ -26,12 +27,12 @@
     }
 }
 
-/// Why the program ends with a failure.
+/// Why the program exits with a failure.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("could not start: {0}")]
+    #[error("cannot start the proxy: {0}")]
     Start(#[from] StartError),
     #[error("the event loop failed: {0}")]
     EventLoop(#[from] io::Error),
@@ -45,15 +46,18 @@
     Ok(event_loop.run()?)
 }
 
-/// Reads the configuration, and again for a while if that fails for a reason that may pass, such as
-/// a file that is being written.
+/// Reads the configuration. Retries for up to [`CONFIGURATION_RETRY_TIMEOUT`] if the error may be
+/// temporary, for example because a file is being written.
 fn read_configuration() -> Result<Config, ConfigError> {
-    let give_up_at = Instant::now() + CONFIGURATION_PATIENCE;
+    let give_up_at = Instant::now() + CONFIGURATION_RETRY_TIMEOUT;
     loop {
         match Config::from_env() {
-            Err(error) if error.may_pass() && Instant::now() < give_up_at => {
-                log::warn!("the start waits: {error}");
-                thread::sleep(CONFIGURATION_RETRY);
+            Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+                log::warn!(
+                    "cannot read the configuration, retrying in {} ms: {error}",
+                    CONFIGURATION_RETRY_INTERVAL.as_millis()
+                );
+                thread::sleep(CONFIGURATION_RETRY_INTERVAL);
             }
             result => return result,
         }
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -89,7 +89,7 @@
             requests: PendingRequests::new(limits.open_requests, limits.total_body_bytes),
             deadlines: DeadlineLimits {
                 answer_lead_us: limits.answer_lead_us,
-                sweep_interval_us: limits.deadline_sweep_us,
+                sweep_interval_us: limits.deadline_check_interval_us,
             },
             servers: ServerDirectory::default(),
             permanent_purges: PermanentPurges::new(limits.permanent_purges),
@@ -171,7 +171,7 @@
             Some(object) => log::debug!("object {object} was purged"),
             None => log::info!("group {group} was purged"),
         }
-        let moved_us = self.reference_time.event_arrived(now, at);
+        let moved_us = self.reference_time.observe_event(now, at);
         self.move_times_back(now, moved_us);
         let purge = Purge {
             target: PurgeTarget { object, group },
@@ -212,7 +212,7 @@
     fn convert_starts(&mut self, now: Micros, entries: &mut [ListedServer]) {
         let mut moved_us = 0;
         for started in entries.iter().filter_map(|entry| entry.endpoint.started_at) {
-            moved_us += self.reference_time.event_arrived(now, started);
+            moved_us += self.reference_time.observe_event(now, started);
         }
         self.move_times_back(now, moved_us);
         for entry in entries {
@@ -324,7 +324,7 @@
             .copy_made_us
             .filter(|_| result.outcome == Outcome::Ok)
         {
-            let moved_us = self.reference_time.copy_arrived(now, made_us);
+            let moved_us = self.reference_time.observe_copy(now, made_us);
             self.move_times_back(now, moved_us);
         }
         let content = result.content.take();
--- a/crates/proxy/src/sys/errors.rs
+++ b/crates/proxy/src/sys/errors.rs
@@ -1,10 +1,12 @@
-//! What an error of a system call says: which side failed, and whether it may pass.
+//! Classification of system call errors: whether this machine or the peer failed, and whether the
+//! error is temporary.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Errors of this machine alone, that may pass: no descriptor, memory, port or route is left.
-const LOCAL_AND_TRANSIENT: [Errno; 9] = [
+/// Temporary errors that concern only this machine: it has no free file descriptor, memory, port or
+/// route.
+const LOCAL_RESOURCE_ERRNOS: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -16,31 +18,31 @@
     Errno::INTR,
 ];
 
-/// Errors by which a socket that is sound says that the kernel has no memory for the moment.
-const NO_MEMORY: [Errno; 2] = [Errno::NOBUFS, Errno::NOMEM];
+/// Errors that a sound socket returns while the kernel has no memory.
+const OUT_OF_MEMORY_ERRNOS: [Errno; 2] = [Errno::NOBUFS, Errno::NOMEM];
 
 fn is_one_of(error: &io::Error, errnos: &[Errno]) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     errno.is_some_and(|errno| errnos.contains(&errno))
 }
 
-/// Whether an error of opening a connection tells of this machine, not of the peer: the peer was
-/// not reached, and may be well.
-pub fn is_local(error: &io::Error) -> bool {
-    is_one_of(error, &LOCAL_AND_TRANSIENT)
+/// Returns whether opening a connection failed because of this machine. The peer was not reached
+/// and may be healthy.
+pub fn is_local_resource_error(error: &io::Error) -> bool {
+    is_one_of(error, &LOCAL_RESOURCE_ERRNOS)
 }
 
-/// Whether a read or a write can be tried again on the same socket.
-pub fn is_momentary_on_socket(error: &io::Error) -> bool {
+/// Returns whether a read or a write that failed can be retried on the same socket.
+pub fn is_transient_on_socket(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
-    ) || is_one_of(error, &NO_MEMORY)
+    ) || is_one_of(error, &OUT_OF_MEMORY_ERRNOS)
 }
 
-/// Whether what failed at the start of the process may succeed a moment later. An address in use
-/// is one of these: the process that this one replaces may be about to end.
-pub fn may_pass_at_start(error: &io::Error) -> bool {
+/// Returns whether a startup step that failed with this error may succeed shortly after. An address
+/// in use is such an error, because the process that this one replaces may be about to exit.
+pub fn is_transient_at_startup(error: &io::Error) -> bool {
     is_one_of(error, &[Errno::ADDRINUSE, Errno::IO, Errno::NOSPC])
-        || is_local(error) && !is_one_of(error, &[Errno::ADDRNOTAVAIL])
+        || is_local_resource_error(error) && !is_one_of(error, &[Errno::ADDRNOTAVAIL])
 }
--- a/crates/proxy/src/sys/fault.rs
+++ b/crates/proxy/src/sys/fault.rs
@@ -1,7 +1,8 @@
-//! Faults of system calls by a seeded plan, for tests and the fault soak.
+//! Injection of system call faults according to a seeded plan, for tests and the fault soak.
 //!
-//! A plan belongs to a thread: the event loop of a proxy runs on one, and a test may run several
-//! proxies side by side. Only builds with the feature `fault-injection` have this module.
+//! A plan applies to one thread. The event loop of a proxy runs on a single thread, and a test may
+//! run several proxies in one process. This module exists only in builds with the feature
+//! `fault-injection`.
 
 use super::SystemCall;
 use serde::{Deserialize, Serialize};
@@ -11,71 +12,74 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Error numbers of Linux, as the system calls document them.
+/// Linux error numbers.
 pub mod errno {
     /// Interrupted by a signal.
     pub const EINTR: i32 = 4;
-    /// An error of the device.
+    /// I/O error of the device.
     pub const EIO: i32 = 5;
-    /// No memory.
+    /// Out of memory.
     pub const ENOMEM: i32 = 12;
-    /// No descriptor is left in the system.
+    /// The system has no free file descriptor.
     pub const ENFILE: i32 = 23;
-    /// No descriptor is left in the process.
+    /// The process has no free file descriptor.
     pub const EMFILE: i32 = 24;
-    /// The device is full.
+    /// No space is left on the device.
     pub const ENOSPC: i32 = 28;
-    /// No port is left.
+    /// No local port is free.
     pub const EADDRNOTAVAIL: i32 = 99;
-    /// No route.
+    /// No route to the network.
     pub const ENETUNREACH: i32 = 101;
-    /// A connection was ended before it was accepted.
+    /// A connection was aborted before it was accepted.
     pub const ECONNABORTED: i32 = 103;
-    /// No buffer is left.
+    /// No buffer space is available.
     pub const ENOBUFS: i32 = 105;
-    /// The peer does not acknowledge.
+    /// The peer did not acknowledge in time.
     pub const ETIMEDOUT: i32 = 110;
-    /// No way to the peer.
+    /// No route to the host.
     pub const EHOSTUNREACH: i32 = 113;
 }
 
-/// What happens to a call.
+/// The effect of a fault on a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// It fails with this error number, and nothing happens.
+    /// The call is not made and returns this error number.
     Error(i32),
-    /// It moves at most this many bytes.
+    /// The call transfers at most this many bytes.
     Short(usize),
-    /// It moves at most this many bytes, and the next call of the same kind ends the process, as
-    /// SIGKILL would in the middle of a write.
+    /// The call transfers at most this many bytes, and the next call of the same kind aborts the
+    /// process, as SIGKILL would in the middle of a write.
     ShortThenAbort(usize),
-    /// It ends the process at once.
+    /// The call is not made and the process aborts.
     Abort,
 }
 
-/// Calls that are disturbed.
+/// A fault that is injected into system calls of one kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Which calls.
+    /// The kind of system call.
     pub call: SystemCall,
-    /// What happens to them.
+    /// The effect on an affected call.
     pub effect: Effect,
-    /// From when on, in milliseconds since the plan was installed.
+    /// Start of the time in which calls are affected, in milliseconds since the injector was
+    /// created.
     pub from_ms: u64,
-    /// Until when.
+    /// End of that time, in milliseconds since the injector was created. Exclusive.
     pub until_ms: u64,
-    /// So many calls pass first.
+    /// Number of calls that are let through before the first call is affected. Only calls that the
+    /// other conditions select are counted.
     #[serde(default)]
     pub skip: u32,
-    /// One in so many calls, drawn by the plan's seed; 1: every call.
+    /// One call in this many is affected, chosen at random by the plan's seed. 1 affects every
+    /// call.
     pub one_in: u32,
-    /// At most so many calls.
+    /// Maximum number of calls that are affected.
     pub limit: u32,
 }
 
 impl Fault {
-    /// The next `limit` calls of a kind, from now on.
+    /// Returns a fault that affects the next `limit` calls of a kind.
     pub fn next(limit: u32, call: SystemCall, effect: Effect) -> Self {
         Fault {
             call,
@@ -92,18 +96,19 @@
 /// A step of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockStep {
-    /// When, in milliseconds since the plan was installed; 0: the clock is wrong from the start.
+    /// Time of the step, in milliseconds since the injector was created. With 0, the clock is wrong
+    /// from the start.
     pub at_ms: u64,
-    /// By how much, in milliseconds; negative: back.
+    /// Size of the step in milliseconds. A negative step sets the clock back.
     pub by_ms: i64,
 }
 
-/// Everything that is to go wrong in one process.
+/// The system call faults and wall clock steps that are injected into one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultPlan {
-    /// For the draws of [`Fault::one_in`].
+    /// Seed of the random choices for [`Fault::one_in`].
     pub seed: u64,
-    /// The faults; the first one that matches a call decides.
+    /// The faults. The first one that matches a call applies.
     pub faults: Vec<Fault>,
     /// The steps of the wall clock.
     pub clock_steps: Vec<ClockStep>,
@@ -111,14 +116,16 @@
 
 struct State {
     plan: FaultPlan,
-    random: u64,
+    random_state: u64,
+    /// Number of affected calls by kind of call.
     injected: BTreeMap<SystemCall, u64>,
 }
 
-/// A plan in force, shared by the thread that it disturbs and whoever changes or reads it.
+/// Injects the faults of a plan. Clones share the plan, so that one thread can change the plan of
+/// another and read its counts.
 #[derive(Clone)]
 pub struct FaultInjector {
-    installed_at: Instant,
+    created_at: Instant,
     state: Arc<Mutex<State>>,
 }
 
@@ -127,34 +134,34 @@
 }
 
 impl FaultInjector {
-    /// An injector for a plan whose times count from now on.
+    /// Creates an injector. The times of the plan count from now.
     pub fn new(plan: FaultPlan) -> Self {
         FaultInjector {
-            installed_at: Instant::now(),
+            created_at: Instant::now(),
             state: Arc::new(Mutex::new(State {
-                random: plan.seed | 1,
+                random_state: plan.seed | 1,
                 plan,
                 injected: BTreeMap::new(),
             })),
         }
     }
 
-    /// Disturbs the calls of the present thread from now on.
+    /// Starts to inject faults into the system calls of the current thread.
     pub fn install(&self) {
         INSTALLED.set(Some(self.clone()));
     }
 
-    /// Adds a fault, with its times counted from when the injector was made.
+    /// Adds a fault. Its times count from the creation of the injector.
     pub fn add(&self, fault: Fault) {
         self.state().plan.faults.push(fault);
     }
 
-    /// Ends all faults of a kind of call.
+    /// Removes all faults for a kind of system call.
     pub fn clear(&self, call: SystemCall) {
         self.state().plan.faults.retain(|fault| fault.call != call);
     }
 
-    /// How many calls of each kind were disturbed so far.
+    /// Returns the number of calls that were affected so far, by kind of call.
     pub fn injected(&self) -> BTreeMap<SystemCall, u64> {
         self.state().injected.clone()
     }
@@ -164,7 +171,7 @@
     }
 
     fn elapsed_ms(&self) -> u64 {
-        self.installed_at.elapsed().as_millis() as u64
+        self.created_at.elapsed().as_millis() as u64
     }
 
     fn next_effect(&self, call: SystemCall) -> Option<Effect> {
@@ -172,14 +179,14 @@
         let mut state = self.state();
         let State {
             plan,
-            random,
+            random_state,
             injected,
         } = &mut *state;
         let fault = plan.faults.iter_mut().find(|fault| {
             fault.call == call
                 && fault.limit > 0
                 && (fault.from_ms..fault.until_ms).contains(&now_ms)
-                && next_random(random) % u64::from(fault.one_in.max(1)) == 0
+                && next_random(random_state) % u64::from(fault.one_in.max(1)) == 0
         })?;
         if fault.skip > 0 {
             fault.skip -= 1;
@@ -195,7 +202,8 @@
     }
 }
 
-/// The next number of a xorshift generator, without its low bits, which are the weakest.
+/// Returns the next number of a xorshift generator, without its low bits, which are the least
+/// random.
 fn next_random(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
@@ -203,7 +211,8 @@
     *state >> 11
 }
 
-/// What the plan of the present thread has for a call.
+/// Applies the current thread's plan to a call. Returns the injected error, or the maximum number
+/// of bytes that the call may transfer, or None if the plan does not affect the call.
 pub(super) fn intercept(call: SystemCall) -> io::Result<Option<usize>> {
     let effect = INSTALLED.with_borrow(|injector| injector.as_ref()?.next_effect(call));
     match effect {
@@ -214,7 +223,8 @@
     }
 }
 
-/// By how much the wall clock of the present thread is off by now.
+/// Returns the current offset of the current thread's wall clock in microseconds, which is the sum
+/// of all steps so far. Returns 0 without a plan.
 pub(super) fn clock_offset_us() -> i64 {
     INSTALLED.with_borrow(|injector| {
         let Some(injector) = injector else {
@@ -223,7 +233,7 @@
         let now_ms = injector.elapsed_ms();
         let state = injector.state();
         let steps = state.plan.clock_steps.iter();
-        let past = steps.filter(|step| step.at_ms <= now_ms);
-        past.map(|step| step.by_ms * 1000).sum()
+        let past_steps = steps.filter(|step| step.at_ms <= now_ms);
+        past_steps.map(|step| step.by_ms * 1000).sum()
     })
 }
--- a/crates/proxy/src/sys/mod.rs
+++ b/crates/proxy/src/sys/mod.rs
@@ -1,10 +1,9 @@
-//! The system calls that may fail for a moment, each behind one function.
+//! Wrappers of the system calls that can fail temporarily, one function for each call.
 //!
-//! Every socket, file and clock of the proxy is used through this module, so that there is one place
-//! where a call that was interrupted by a signal is made again, one where errors are classified
-//! ([`errors`]), and one where a test can have calls fail: built with the feature
-//! `fault-injection`, each function first asks a seeded plan (`fault`). Without it, as in a
-//! deployment, that question costs nothing.
+//! The proxy uses every socket, file and clock through this module. It is the one place where calls
+//! that a signal interrupted are repeated, where errors are classified ([`errors`]), and where
+//! tests can make calls fail. With the feature `fault-injection`, each function first consults a
+//! seeded fault plan (`fault`). Without the feature, as in a deployment, this costs nothing.
 
 pub mod errors;
 #[cfg(feature = "fault-injection")]
@@ -14,16 +13,17 @@
 mod socket;
 mod wall_clock;
 
-pub use file::{create_file, read_file, rename, sync_file, sync_folder, write_file};
+pub use file::{create_file, read_file, rename, sync_directory, sync_file, write_file};
 pub use poll::{epoll_add, epoll_create, epoll_modify, epoll_wait};
 pub use socket::{
-    accept, bind_udp, connect, listen, new_tcp_socket, pair, shut_down_writes, socket_error, Stream,
+    accept, bind_udp, connect, listen, new_tcp_socket, shut_down_writes, socket_error, socket_pair,
+    Stream,
 };
 pub use wall_clock::unix_time_us;
 
 use std::io;
 
-/// A system call, or a group of them that fails alike.
+/// A system call, or a group of system calls that fail in the same way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(
     feature = "fault-injection",
@@ -33,25 +33,25 @@
 pub enum SystemCall {
     /// `epoll_create`.
     EpollCreate,
-    /// `epoll_ctl`, to add a socket.
+    /// `epoll_ctl` that adds a socket.
     EpollAdd,
-    /// `epoll_ctl`, to change what a socket is watched for.
+    /// `epoll_ctl` that changes the events reported for a socket.
     EpollModify,
     /// `epoll_wait`.
     EpollWait,
     /// `socketpair`.
     SocketPair,
-    /// `socket`, of a listener or a UDP socket.
+    /// `socket` for a listener or a UDP socket.
     ListenerSocket,
     /// `bind` and `listen`.
     Bind,
     /// `accept`.
     Accept,
-    /// `socket`, of an outgoing connection.
+    /// `socket` for an outgoing connection.
     Socket,
     /// `connect`.
     Connect,
-    /// How a connection attempt came out: the socket option `SO_ERROR`.
+    /// `getsockopt` of `SO_ERROR`, which returns the outcome of a connection attempt.
     ConnectResult,
     /// `read` and `recv` of a socket.
     Read,
@@ -59,22 +59,23 @@
     Write,
     /// `open` and `read` of a file.
     FileRead,
-    /// `open` of a file that is to be written.
+    /// `open` of a file for writing.
     FileCreate,
     /// `write` to a file.
     FileWrite,
-    /// `fsync` of a file or a folder.
+    /// `fsync` of a file or a directory.
     FileSync,
     /// `rename`.
     FileRename,
 }
 
-/// How often a call that a signal interrupts is made again before that counts as its result.
-const MAX_INTERRUPTIONS: u32 = 100;
+/// How often a call is made that signals keep interrupting, before the interruption is returned as
+/// an error.
+const MAX_INTERRUPTED_CALLS: u32 = 100;
 
-/// Makes a call, and again where a signal interrupted it.
+/// Makes a system call and repeats it if a signal interrupted it.
 fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..MAX_INTERRUPTIONS {
+    for _ in 0..MAX_INTERRUPTED_CALLS {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             result => return result,
@@ -83,13 +84,14 @@
     Err(io::ErrorKind::Interrupted.into())
 }
 
-/// What the plan of faults has for a call: an error, or the most bytes that it may move.
+/// Applies the fault plan to a call. Returns the injected error, or the maximum number of bytes
+/// that the call may transfer, or None if the plan does not affect the call.
 #[cfg(feature = "fault-injection")]
 fn intercept(call: SystemCall) -> io::Result<Option<usize>> {
     fault::intercept(call)
 }
 
-/// Without fault injection, every call is made as it is.
+/// Returns None, because no call is affected without fault injection.
 #[cfg(not(feature = "fault-injection"))]
 #[inline(always)]
 fn intercept(_call: SystemCall) -> io::Result<Option<usize>> {
--- a/crates/proxy/src/sys/poll.rs
+++ b/crates/proxy/src/sys/poll.rs
@@ -1,4 +1,4 @@
-//! epoll.
+//! System calls of epoll.
 
 use super::{intercept, SystemCall};
 use rustix::event::{epoll, Timespec};
@@ -23,7 +23,7 @@
     Ok(epoll::add(epoll_fd, socket, data, flags)?)
 }
 
-/// Changes what a registered socket is watched for.
+/// Changes the events that are reported for a registered socket.
 pub fn epoll_modify(
     epoll_fd: &OwnedFd,
     socket: impl AsFd,
@@ -35,8 +35,8 @@
     Ok(epoll::modify(epoll_fd, socket, data, flags)?)
 }
 
-/// Waits until something is ready or the time is over, and appends what is ready, as far as there
-/// is capacity. A signal that interrupts it ends the wait with nothing ready.
+/// Waits until an event arrives or the timeout expires, and appends the events to `events`, up to
+/// its spare capacity. If a signal interrupts the wait, returns without events.
 pub fn epoll_wait(
     epoll_fd: &OwnedFd,
     events: &mut Vec<epoll::Event>,
--- a/crates/proxy/src/sys/socket.rs
+++ b/crates/proxy/src/sys/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets.
+//! System calls on sockets.
 
 use super::{intercept, retry_interrupted, SystemCall};
 use rustix::io::Errno;
@@ -7,10 +7,10 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::unix::net::UnixStream;
 
-/// A socket that is not connected yet, for [`connect`]. It does not block.
-pub fn new_tcp_socket(for_address: SocketAddr) -> io::Result<TcpStream> {
+/// Creates a non-blocking TCP socket of the address family of `address`, for [`connect`].
+pub fn new_tcp_socket(address: SocketAddr) -> io::Result<TcpStream> {
     intercept(SystemCall::Socket)?;
-    let family = if for_address.is_ipv4() {
+    let family = if address.is_ipv4() {
         AddressFamily::INET
     } else {
         AddressFamily::INET6
@@ -20,44 +20,43 @@
     Ok(TcpStream::from(socket))
 }
 
-/// Begins to connect a socket, and does not wait for the outcome. A signal that interrupts the call
-/// does not interrupt the connection attempt: connect(2) goes on by itself, and making the call
-/// again would fail.
-pub fn connect(socket: &TcpStream, to: SocketAddr) -> io::Result<()> {
-    let begun = intercept(SystemCall::Connect).and_then(|_| begin_to_connect(socket, to));
-    match begun {
+/// Starts to connect a socket and does not wait for the outcome. If a signal interrupts the call,
+/// the kernel continues the connection attempt, see connect(2), and a second call would fail.
+pub fn connect(socket: &TcpStream, address: SocketAddr) -> io::Result<()> {
+    let result = intercept(SystemCall::Connect).and_then(|_| start_connect(socket, address));
+    match result {
         Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-            after_interrupted_connect(socket, to)
+            handle_interrupted_connect(socket, address)
         }
-        begun => begun,
+        result => result,
     }
 }
 
-fn begin_to_connect(socket: &TcpStream, to: SocketAddr) -> io::Result<()> {
-    match net::connect(socket, &to) {
+fn start_connect(socket: &TcpStream, address: SocketAddr) -> io::Result<()> {
+    match net::connect(socket, &address) {
         Ok(()) | Err(Errno::INPROGRESS) => Ok(()),
         Err(error) => Err(error.into()),
     }
 }
 
 #[cfg(not(feature = "fault-injection"))]
-fn after_interrupted_connect(_socket: &TcpStream, _to: SocketAddr) -> io::Result<()> {
+fn handle_interrupted_connect(_socket: &TcpStream, _address: SocketAddr) -> io::Result<()> {
     Ok(())
 }
 
-/// An interruption that was injected has kept the connection attempt from beginning.
+/// Starts the connection attempt, which an injected interruption has prevented.
 #[cfg(feature = "fault-injection")]
-fn after_interrupted_connect(socket: &TcpStream, to: SocketAddr) -> io::Result<()> {
-    begin_to_connect(socket, to)
+fn handle_interrupted_connect(socket: &TcpStream, address: SocketAddr) -> io::Result<()> {
+    start_connect(socket, address)
 }
 
-/// How the attempt to connect a socket came out, once the socket is writable.
+/// Returns the outcome of an attempt to connect a socket. Called once the socket is writable.
 pub fn socket_error(socket: &TcpStream) -> io::Result<()> {
     intercept(SystemCall::ConnectResult)?;
     Ok(sockopt::socket_error(socket)??)
 }
 
-/// A listener that does not block.
+/// Creates a non-blocking TCP listener.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     intercept(SystemCall::ListenerSocket)?;
     intercept(SystemCall::Bind)?;
@@ -66,7 +65,7 @@
     Ok(listener)
 }
 
-/// A UDP socket that does not block.
+/// Creates a non-blocking UDP socket.
 pub fn bind_udp(address: SocketAddr) -> io::Result<UdpSocket> {
     intercept(SystemCall::ListenerSocket)?;
     intercept(SystemCall::Bind)?;
@@ -75,32 +74,32 @@
     Ok(socket)
 }
 
-/// The next connection that waits at a listener.
+/// Accepts the next pending connection of a listener.
 pub fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     intercept(SystemCall::Accept)?;
     let (socket, _) = listener.accept()?;
     Ok(socket)
 }
 
-/// Two connected sockets.
-pub fn pair() -> io::Result<(UnixStream, UnixStream)> {
+/// Creates a pair of connected Unix sockets.
+pub fn socket_pair() -> io::Result<(UnixStream, UnixStream)> {
     intercept(SystemCall::SocketPair)?;
     UnixStream::pair()
 }
 
-/// Ends the writing half of a connection.
+/// Closes the writing half of a connection.
 pub fn shut_down_writes(socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)
 }
 
-/// Reads and writes a connection.
+/// Reads from and writes to a TCP connection. A call that a signal interrupts is repeated.
 pub struct Stream<'a>(pub &'a TcpStream);
 
 impl Read for Stream<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         retry_interrupted(|| {
-            let most = intercept(SystemCall::Read)?.unwrap_or(buffer.len());
-            let length = buffer.len().min(most);
+            let max_bytes = intercept(SystemCall::Read)?.unwrap_or(buffer.len());
+            let length = buffer.len().min(max_bytes);
             let mut socket = self.0;
             socket.read(&mut buffer[..length])
         })
@@ -110,8 +109,8 @@
 impl Write for Stream<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         retry_interrupted(|| {
-            let most = intercept(SystemCall::Write)?.unwrap_or(bytes.len());
-            let length = bytes.len().min(most);
+            let max_bytes = intercept(SystemCall::Write)?.unwrap_or(bytes.len());
+            let length = bytes.len().min(max_bytes);
             let mut socket = self.0;
             socket.write(&bytes[..length])
         })
--- a/crates/proxy/src/upstream/cancel.rs
+++ b/crates/proxy/src/upstream/cancel.rs
@@ -75,7 +75,7 @@
             .values()
             .filter_map(Stream::abort_written_at)
             .min();
-        earliest.map(|written_at| written_at + limits.cancel_settle_us)
+        earliest.map(|written_at| written_at + limits.cancel_settle_delay_us)
     }
 
     /// Takes back the attempts of which nothing is written and which would go to this server or be
@@ -124,7 +124,7 @@
     /// The attempt whose command lies whole at the front of the output buffer. There is one at the
     /// most, as `flush` hands over the next one only when the buffer is empty.
     fn unwritten_attempt(&self, conn: &BufferedSocket) -> Option<UnwrittenAttempt> {
-        if !conn.connected || conn.output.is_empty() {
+        if !conn.is_connected || conn.output.is_empty() {
             return None;
         }
         let output_end = conn.bytes_written + conn.output.len() as u64;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -92,7 +92,7 @@
     pub fn probe(&mut self, now: Micros, conn: &mut BufferedSocket) -> bool {
         let id = format!("probe-{}", self.probes_sent);
         let command = command::encode_stats(&id);
-        if !conn.connected || conn.output.free_space() < command.len() {
+        if !conn.is_connected || conn.output.free_space() < command.len() {
             return false;
         }
         conn.output.push(&command);
@@ -101,10 +101,10 @@
         true
     }
 
-    /// Forgets streams that were cancelled or answered more than `Limits::stream_memory_us` ago.
+    /// Forgets streams that were cancelled or answered more than `Limits::stream_retention_us` ago.
     pub fn forget_old_streams(&mut self, now: Micros, limits: &Limits) {
         self.streams
-            .retain(|_, stream| !stream.is_forgettable(now, limits.stream_memory_us));
+            .retain(|_, stream| !stream.is_forgettable(now, limits.stream_retention_us));
     }
 
     /// Takes out the attempts of which nothing was written yet.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -24,7 +24,7 @@
 //! - An attempt in the output buffer of which no byte is written can still be taken back, as if it
 //!   were in the queue.
 //! - An answer that arrives before a cancellation is reported ends the attempt in the usual way.
-//! - `Cancelled` and `Answered` streams are remembered for `Limits::stream_memory_us`, because a
+//! - `Cancelled` and `Answered` streams are remembered for `Limits::stream_retention_us`, because a
 //!   late or repeated answer under their id must not be taken for the answer to a further attempt
 //!   of the same request.
 //! - An answer with a copy that is older than the attempt accepts ends it with an error. The first
--- a/crates/proxy/src/upstream/timeouts.rs
+++ b/crates/proxy/src/upstream/timeouts.rs
@@ -93,7 +93,7 @@
 
     /// Notes whether bytes wait to be written, and whether any went out since the last call.
     pub(super) fn note_output(&mut self, now: Micros, conn: &BufferedSocket) {
-        if !conn.connected || conn.output.is_empty() {
+        if !conn.is_connected || conn.output.is_empty() {
             self.write_wait = None;
             return;
         }
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -62,7 +62,7 @@
         conn: &mut BufferedSocket,
         events: &mut Vec<UpstreamEvent>,
     ) -> IoProgress {
-        while conn.connected && conn.output.is_empty() {
+        while conn.is_connected && conn.output.is_empty() {
             let Some(attempt) = self.queue.pop_front() else {
                 break;
             };
@@ -109,7 +109,7 @@
         true
     }
 
-    /// Reports cancellations whose `abort` was written `Limits::cancel_settle_us` ago. It needs
+    /// Reports cancellations whose `abort` was written `Limits::cancel_settle_delay_us` ago. It needs
     /// that time to arrive: a further attempt at a nearer server must not overtake it.
     fn report_settled_cancellations(
         &mut self,
@@ -117,7 +117,7 @@
         bytes_written: u64,
         events: &mut Vec<UpstreamEvent>,
     ) {
-        let settle_us = context.limits.cancel_settle_us;
+        let settle_us = context.limits.cancel_settle_delay_us;
         for stream in self.streams.values_mut() {
             let settled = stream.take_settled_cancellation(context.now, bytes_written, settle_us);
             events.extend(settled.map(|attempt| UpstreamEvent::ended(attempt, Outcome::Cancelled)));
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -95,12 +95,14 @@
     let mut new = good();
     (new["bus"], new["seed"], new["known"]) =
         (json!("127.0.0.1:1"), json!("7"), json!({"offset": 3}));
-    assert!(old.fixed_changes(&read(&new).unwrap()).is_empty());
+    assert!(old
+        .changes_requiring_restart(&read(&new).unwrap())
+        .is_empty());
     (new["listen"], new["limits"], new["name"]) =
         (json!("127.0.0.1:9"), json!({"sockets": 99}), json!("n"));
     new["settings"]["limits"]["try-limit"] = json!(2);
     assert_eq!(
-        old.fixed_changes(&read(&new).unwrap()),
+        old.changes_requiring_restart(&read(&new).unwrap()),
         ["name", "listen", "limits", "settings"]
     );
 }
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -37,7 +37,7 @@
         headers,
     };
     let entries = consul
-        .response(&message(&head, body.to_string().as_bytes()))
+        .handle_response(&message(&head, body.to_string().as_bytes()))
         .unwrap()?;
     Some(
         entries
@@ -48,7 +48,7 @@
 }
 
 fn target(consul: &Consul) -> String {
-    let request = String::from_utf8(consul.request("c:8500")).unwrap();
+    let request = String::from_utf8(consul.next_request("c:8500")).unwrap();
     request.split(' ').nth(1).unwrap().to_owned()
 }
 
@@ -120,14 +120,14 @@
         );
     }
     answer(&mut consul, 8, &health(&[]));
-    consul.failed();
+    consul.handle_failure();
     assert_eq!(target(&consul), "/v1/health/service/s");
     let head = Head {
         start: "HTTP/1.1 500 Internal Server Error".to_owned(),
         headers: vec![],
     };
     assert!(consul
-        .response(&message(&head, b"rpc error"))
+        .handle_response(&message(&head, b"rpc error"))
         .unwrap_err()
         .to_string()
         .contains("500"));
@@ -137,7 +137,7 @@
     };
     let text = |consul: &mut Consul, body: Value| {
         consul
-            .response(&message(&head, body.to_string().as_bytes()))
+            .handle_response(&message(&head, body.to_string().as_bytes()))
             .unwrap_err()
             .to_string()
     };
--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -122,7 +122,7 @@
     let messages = client.read(9, stream.as_bytes(), &mut last_offset).unwrap();
     let offsets: Vec<u64> = messages.iter().map(|message| message.offset).collect();
     assert_eq!(offsets, [42, 44]);
-    assert_eq!((last_offset, client.last_read()), (44, 9));
+    assert_eq!((last_offset, client.last_read_at()), (44, 9));
     assert!(client
         .read(9, b"data: no JSON\n\n", &mut last_offset)
         .is_err());
--- a/crates/proxy/tests/event_bus_subscription.rs
+++ b/crates/proxy/tests/event_bus_subscription.rs
@@ -133,7 +133,7 @@
             config["known"] = Value::Null;
             config["bus"] = event_bus.address.to_string().into();
         })
-        .limits(|limits| limits.event_bus_silence_us = SILENCE_US)
+        .limits(|limits| limits.event_bus_idle_timeout_us = SILENCE_US)
         .start();
 
     // The bus does not answer in time; the proxy asks again, and the first answer comes after that.
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -17,7 +17,10 @@
         );
         assert!(limits.total_body_bytes + limits.unsent_answer_bytes <= memory_mb << 19);
         let whole = limits.requests_per_client;
-        assert!(limits.admits(whole, false) && !limits.admits(whole + 1, false));
-        assert!(limits.admits(1, true) && !limits.admits(whole, true));
+        assert!(
+            limits.allows_open_requests(whole, false)
+                && !limits.allows_open_requests(whole + 1, false)
+        );
+        assert!(limits.allows_open_requests(1, true) && !limits.allows_open_requests(whole, true));
     }
 }
--- a/crates/proxy/tests/net.rs
+++ b/crates/proxy/tests/net.rs
@@ -41,15 +41,15 @@
     let mut ring = RingBuffer::new(64 << 10);
     let mut sent = Vec::new();
     let mut received = Vec::new();
-    assert_eq!(ring.allocated(), 0);
+    assert_eq!(ring.allocated_bytes(), 0);
     for step in [100, 900, 3_000, 20_000, 60_000, 1] {
         let bytes: Vec<u8> = (0..step).map(|n| (n * 7 + step) as u8).collect();
         let stored = ring.push(&bytes);
         sent.extend_from_slice(&bytes[..stored]);
         assert!(
-            ring.allocated() <= (2 * ring.len()).max(RingBuffer::MIN_ALLOCATION),
+            ring.allocated_bytes() <= (2 * ring.len()).max(RingBuffer::MIN_ALLOCATION_BYTES),
             "{} for {}",
-            ring.allocated(),
+            ring.allocated_bytes(),
             ring.len()
         );
         // The contents are moved as the buffer grows, also while they wrap around its end.
@@ -65,7 +65,7 @@
         "bytes come out in the order in which they went in"
     );
     ring.release_memory();
-    assert_eq!(ring.allocated(), 0);
+    assert_eq!(ring.allocated_bytes(), 0);
 }
 
 #[test]
@@ -85,11 +85,11 @@
         poller.wait(1_000_000, &mut ready).unwrap();
     }
     assert!(
-        ready[0].broken && ready[0].read,
+        ready[0].is_broken && ready[0].is_readable,
         "a reset is reported without any interest"
     );
     assert_eq!(socket.read(false), IoProgress::WouldBlock);
-    assert_eq!(socket.read(ready[0].broken), IoProgress::Broken);
+    assert_eq!(socket.read(ready[0].is_broken), IoProgress::Broken);
 }
 
 #[test]
@@ -109,16 +109,16 @@
     poller.wait(WAIT_US, &mut ready).unwrap();
 
     assert_eq!(ready.len(), 1, "the end is reported, not the input");
-    assert!(ready[0].peer_closed && !ready[0].broken);
+    assert!(ready[0].peer_closed && !ready[0].is_broken);
 }
 
 #[test]
 fn timers_come_due_in_order_once_and_can_be_cancelled() {
     let mut timers = TimerQueue::default();
-    timers.set(20, 'a');
-    let cancelled = timers.set(30, 'b');
-    timers.set(10, 'c');
-    timers.set(20, 'd');
+    timers.schedule(20, 'a');
+    let cancelled = timers.schedule(30, 'b');
+    timers.schedule(10, 'c');
+    timers.schedule(20, 'd');
     timers.cancel(cancelled);
     assert_eq!((timers.next_due(), timers.pop_due(9)), (Some(10), None));
     assert_eq!(timers.pop_due(20), Some('c'));
--- a/crates/proxy/tests/reference_time.rs
+++ b/crates/proxy/tests/reference_time.rs
@@ -17,7 +17,7 @@
     for clock_us in [FLEET_US - HOUR_US, FLEET_US, FLEET_US + HOUR_US] {
         let mut time = ReferenceTime::default();
         for age_us in [9_000_000, 2_000_000, 5_000_000] {
-            time.event_arrived(clock_us, FLEET_US - age_us);
+            time.observe_event(clock_us, FLEET_US - age_us);
         }
         assert_eq!(time.to_local(FLEET_US - 2_000_000), clock_us);
         assert_eq!(time.to_local(FLEET_US - 5_000_000), clock_us - 3_000_000);
@@ -28,15 +28,15 @@
 fn a_fresh_copy_tells_the_time_and_by_how_much_earlier_times_move() {
     let mut time = ReferenceTime::default();
     let clock_us = FLEET_US + HOUR_US;
-    assert_eq!(time.event_arrived(clock_us, FLEET_US - 2_000_000), 0);
+    assert_eq!(time.observe_event(clock_us, FLEET_US - 2_000_000), 0);
     assert_eq!(time.to_local(FLEET_US - 2_000_000), clock_us);
 
-    let moved_us = time.copy_arrived(clock_us, FLEET_US - 15_000);
+    let moved_us = time.observe_copy(clock_us, FLEET_US - 15_000);
 
     assert_eq!(moved_us, 1_985_000);
     assert_eq!(time.to_local(FLEET_US - 2_000_000), clock_us - moved_us);
     assert_eq!(
-        time.copy_arrived(clock_us, FLEET_US - HOUR_US),
+        time.observe_copy(clock_us, FLEET_US - HOUR_US),
         0,
         "an old copy"
     );
@@ -46,15 +46,15 @@
 fn a_copy_that_says_that_the_clock_is_late_has_to_be_confirmed() {
     let mut time = ReferenceTime::default();
     let clock_us = FLEET_US - HOUR_US;
-    time.event_arrived(clock_us, clock_us);
-    assert_eq!(time.copy_arrived(clock_us, FLEET_US), 0);
+    time.observe_event(clock_us, clock_us);
+    assert_eq!(time.observe_copy(clock_us, FLEET_US), 0);
     assert_eq!(
-        time.copy_arrived(clock_us, FLEET_US - 100_000),
+        time.observe_copy(clock_us, FLEET_US - 100_000),
         HOUR_US - 100_000
     );
     for _ in 0..3 {
-        assert_eq!(time.copy_arrived(clock_us, u64::MAX), 0, "an absurd stamp");
-        assert_eq!(time.copy_arrived(clock_us, FLEET_US + 48 * HOUR_US), 0);
+        assert_eq!(time.observe_copy(clock_us, u64::MAX), 0, "an absurd stamp");
+        assert_eq!(time.observe_copy(clock_us, FLEET_US + 48 * HOUR_US), 0);
     }
 }
 
@@ -73,9 +73,9 @@
             let (now, fleet_us) = (clock_us + elapsed_us, FLEET_US + elapsed_us);
             let stamp_us = fleet_us - age_us;
             if is_event {
-                time.event_arrived(now, stamp_us);
+                time.observe_event(now, stamp_us);
             } else {
-                time.copy_arrived(now, stamp_us);
+                time.observe_copy(now, stamp_us);
             }
             // Before the first stamp nothing is known.
             if time.to_local(stamp_us) != stamp_us || clock_us <= FLEET_US {
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -421,7 +421,7 @@
     assert_eq!(answers(&commands).len(), 1, "rejected at once");
     assert!(request_table.is_idle());
     assert!(
-        latest_timer(&commands).is_none_or(|at| at <= NOW + limits().deadline_sweep_us),
+        latest_timer(&commands).is_none_or(|at| at <= NOW + limits().deadline_check_interval_us),
         "those of a flood of requests would add up"
     );
 }
@@ -437,7 +437,7 @@
     let mut now = NOW;
     let mut sweeps = 0;
     while answers(&request_table.take_commands()).is_empty() {
-        now += limits().deadline_sweep_us;
+        now += limits().deadline_check_interval_us;
         request_table.timer_fired(now, RequestTimer::Deadline(request_key));
         sweeps += 1;
     }
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -86,7 +86,7 @@
 fn client_with_an_unread_request_is_not_evicted() {
     let mut proxy = ProxyFixture::builder()
         .config(|config| config["limits"]["sockets"] = SOCKETS_FOR_ONE_CLIENT.into())
-        .limits(|limits| limits.eviction_immunity_us = 0)
+        .limits(|limits| limits.eviction_grace_us = 0)
         .start();
     let mut first_client = proxy.connect();
     let response = fetch_object(&mut first_client, READ_CLASS, &object_key(1));
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -23,7 +23,7 @@
         fixture.take_ends(),
         [End::new(cancelled, Outcome::Cancelled)]
     );
-    fixture.socket.connected = false;
+    fixture.socket.is_connected = false;
     let queued = fixture.send("03");
     let expected = [
         End::new(queued, Outcome::ConnectFailed),
@@ -74,7 +74,7 @@
         fixture.take_ends(),
         [End::new(cancelled, Outcome::Cancelled)]
     );
-    fixture.socket.connected = true;
+    fixture.socket.is_connected = true;
     fixture.flush();
     let text = fixture.received_by_server("fetch", 2);
     assert!(!text.contains("01-object"));
@@ -86,7 +86,7 @@
 fn draining_a_server_returns_its_queued_attempts_unsent_and_leaves_the_written_ones() {
     let mut fixture = Fixture::connected();
     let written = [fixture.send("02"), fixture.send("03")];
-    fixture.socket.connected = false;
+    fixture.socket.is_connected = false;
     let queued = fixture.send("04");
     assert!(fixture.drain_server());
     assert_eq!(fixture.take_ends(), [End::new(queued, Outcome::NotSent)]);
@@ -102,7 +102,7 @@
     fixture.flush();
     // The abort is written, but a further attempt at another server might overtake it.
     assert_eq!(fixture.take_ends(), []);
-    let report_at = NOW + fixture.limits.cancel_settle_us;
+    let report_at = NOW + fixture.limits.cancel_settle_delay_us;
     assert_eq!(
         fixture.connection.next_cancellation_report(&fixture.limits),
         Some(report_at)
@@ -120,7 +120,7 @@
     fixture.cancel_and_settle(attempt);
     assert!(fixture.connection.cancelled_recently("01"));
     assert!(fixture.load_if_available("01").is_some());
-    let forgotten_at = NOW + fixture.limits.stream_memory_us + 1;
+    let forgotten_at = NOW + fixture.limits.stream_retention_us + 1;
     fixture
         .connection
         .forget_old_streams(forgotten_at, &fixture.limits);
@@ -213,7 +213,7 @@
 fn requests_with_one_id_never_share_a_connection() {
     for mut fixture in [Fixture::connected(), Fixture::connecting()] {
         fixture.send("01");
-        let connected = fixture.socket.connected;
+        let connected = fixture.socket.is_connected;
         assert_eq!(fixture.load_if_available("01"), None, "{connected}");
         assert_eq!(fixture.load_if_available("02"), Some(1), "{connected}");
     }
@@ -310,10 +310,10 @@
             .request_table
             .attempt_ended(NOW, first, Outcome::Reset.into());
         fixture.connection = UpstreamConnection::new(fixture.server, &fixture.limits, NOW);
-        fixture.socket.connected = false;
+        fixture.socket.is_connected = false;
         let retry = fixture.enqueue_next();
         fixture.now += waited_us;
-        fixture.socket.connected = true;
+        fixture.socket.is_connected = true;
         fixture.flush();
         let not_sent = End::new(retry, Outcome::NotSent);
         let expected = if begins { vec![] } else { vec![not_sent] };
@@ -343,7 +343,7 @@
         fixture
             .request_table
             .purged(fixture.now, object.map(str::to_owned), group, purged_at);
-        fixture.socket.connected = true;
+        fixture.socket.is_connected = true;
         fixture.flush();
         let text = fixture.received_by_server("fetch", 1);
         assert_eq!(
