--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -13,7 +13,7 @@
 pub enum ConfigError {
     /// The environment does not name a configuration file.
     #[error("the environment variable ROUTER_CONFIG is not set to the path of a file")]
-    NoFile,
+    PathNotSet,
     /// A file cannot be read.
     #[error("{path}: cannot read the file: {source}")]
     Unreadable {
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -115,7 +115,7 @@
     /// configured in a deployment-specific file: the one that `EDGE_PROXY_INTERCONNECT` names, or
     /// otherwise `deploy/interconnect.json` if it exists.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::NoFile)?;
+        let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::PathNotSet)?;
         let mut document = read_file(&path)?;
         apply_fallback_variables(&mut document);
         let mut config = Self::from_json(&document).map_err(in_file(&path))?;
--- a/crates/proxy/src/discovery/event_bus.rs
+++ b/crates/proxy/src/discovery/event_bus.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
     /// The whole endpoint list, or changes to it, as the mode says.
-    List(EndpointListMode, Vec<ListedServer>),
+    EndpointList(EndpointListMode, Vec<ListedServer>),
     /// An object or a whole group was purged.
     Purge {
         /// The purged object. None if a group is purged.
@@ -104,7 +104,7 @@
         _ => EndpointListMode::Delta,
     };
     let entries = entries.as_array().into_iter().flatten();
-    DiscoveryEvent::List(mode, entries.filter_map(read_entry).collect())
+    DiscoveryEvent::EndpointList(mode, entries.filter_map(read_entry).collect())
 }
 
 /// Reads an entry of the endpoint list. Returns None for an entry that cannot be read. Skipping it
@@ -194,7 +194,9 @@
             match piece {
                 None => return Ok(messages),
                 Some(http::Piece::Head(head)) if head.status() != Some(200) => {
-                    return Err(ProtocolError::Malformed("the event bus's answer"));
+                    return Err(ProtocolError::Malformed(
+                        "the event bus's response (expected status 200)",
+                    ));
                 }
                 Some(http::Piece::Head(_)) => {}
                 Some(http::Piece::Body(bytes)) => {
@@ -202,7 +204,7 @@
                 }
                 Some(http::Piece::End) => {
                     return Err(ProtocolError::Malformed(
-                        "the end of the event bus's stream",
+                        "the event bus's response (expected a stream without an end)",
                     ));
                 }
             }
@@ -219,8 +221,9 @@
             let (consumed, event) = self.events.parse(bytes)?;
             bytes = &bytes[consumed..];
             let Some(event) = event else { continue };
-            let value = serde_json::from_str(&event.data)
-                .map_err(|_| ProtocolError::Malformed("an event"))?;
+            let value = serde_json::from_str(&event.data).map_err(|_| {
+                ProtocolError::Malformed("an event of the event bus (expected JSON)")
+            })?;
             match read_event(&value) {
                 Ok(message) if message.offset > *last_offset => {
                     *last_offset = message.offset;
--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -30,7 +30,8 @@
     /// The fleet's time is ahead of the local clock by at least this much. None before any
     /// timestamp has arrived.
     min_lead_us: Option<i64>,
-    /// The lead by the last timestamp of a copy that would have raised the bound.
+    /// The lead that follows from the last timestamp of a copy that would have raised the bound and
+    /// needed confirmation by another copy.
     unconfirmed_lead_us: Option<i64>,
 }
 
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -233,8 +233,8 @@
         match message.event {
             // The endpoint list must have a single source. With two sources, each list would remove
             // the servers of the other.
-            Some(DiscoveryEvent::List(..)) if self.consul.is_some() => {}
-            Some(DiscoveryEvent::List(mode, servers)) => {
+            Some(DiscoveryEvent::EndpointList(..)) if self.consul.is_some() => {}
+            Some(DiscoveryEvent::EndpointList(mode, servers)) => {
                 self.request_table.update_endpoints(now, mode, servers);
             }
             Some(DiscoveryEvent::Purge { object, group, at }) => {
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -11,7 +11,7 @@
 pub struct Limits {
     // ---- File descriptors and connections ----
     /// File descriptors that the process may open.
-    pub descriptors: usize,
+    pub file_descriptors: usize,
     /// Connections from clients. The other descriptors are left for cache servers, the event bus
     /// and the process itself.
     pub client_connections: usize,
@@ -26,8 +26,8 @@
     /// How long the proxy waits before it retries a step that failed because no file descriptor,
     /// memory, port or route was available. An example of such a step is watching a socket.
     pub local_error_retry_interval_us: Micros,
-    /// An attempt is abandoned if no connection could be opened for it for this long, for one of
-    /// these reasons.
+    /// An attempt is abandoned if lack of file descriptors, memory, ports or routes has kept it
+    /// from getting a connection for this long.
     pub local_error_timeout_us: Micros,
 
     // ---- Timeouts of client connections ----
@@ -51,7 +51,7 @@
     pub eviction_grace_us: Micros,
 
     // ---- Requests of clients ----
-    /// Open requests.
+    /// Open requests in total.
     pub open_requests: usize,
     /// Open requests on one client connection.
     pub requests_per_client: usize,
@@ -70,14 +70,15 @@
     /// and the client's further input, which may contain a cancellation, is read before the request
     /// is admitted.
     pub unread_tolerance_us: Micros,
-    /// Reads of such further input of a client before its requests are admitted.
+    /// Reads of the further input of a client whose request waited unread, before its requests are
+    /// admitted.
     pub max_late_reads: usize,
     /// The longest time that a client may state as its time limit for an answer.
     pub max_client_timeout_us: Micros,
     /// The highest part number that a client may request.
-    pub max_part: u64,
+    pub max_part_number: u64,
     /// The largest part size that a client may state.
-    pub max_size_kb: f64,
+    pub max_part_size_kb: f64,
 
     // ---- Answers to clients ----
     /// Answers of any kind that are queued for one client.
@@ -122,7 +123,7 @@
 
     // ---- Answers of cache servers ----
     /// Size of the body of an answer.
-    pub object_bytes: usize,
+    pub answer_body_bytes: usize,
     /// A partially received answer counts as incomplete if nothing more arrives for this long.
     pub partial_answer_timeout_us: Micros,
     /// An answer that no request waits for may take this long. It delays the answers behind it on
@@ -143,9 +144,9 @@
     /// The delay before the proxy reconnects to the event bus or queries Consul again after a first
     /// failure. Jitter shortens a delay by up to half. The delay doubles with each further failure.
     pub reconnect_delay_us: Micros,
-    /// The maximum of this delay. It is shorter than the grace period in which requests may still
-    /// be sent to a draining server, so that updates are received in time if they are published as
-    /// soon as a source recovers.
+    /// The maximum delay before the proxy reconnects to the event bus or queries Consul again. It
+    /// is shorter than the grace period in which requests may still be sent to a draining server,
+    /// so that updates are received in time if they are published as soon as a source recovers.
     pub max_reconnect_delay_us: Micros,
     /// A connection to the event bus that is slow to be established or to respond is kept open for
     /// this long, in parallel with a new connection.
@@ -193,18 +194,18 @@
 
 const KIB: usize = 1 << 10;
 const MIB: usize = 1 << 20;
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
 /// A restart waits for the deadlines of open requests up to this length.
 const MAX_RESTART_DEADLINE_US: Micros = 3 * SECOND;
 /// SIGKILL follows SIGTERM after the longest request deadline and this time.
-const RESTART_GRACE_US: Micros = 700 * MS;
+const RESTART_GRACE_US: Micros = 700 * MILLISECOND;
 /// The last answers are sent this long before SIGKILL.
-const KILL_LEAD_US: Micros = 50 * MS;
+const KILL_LEAD_US: Micros = 50 * MILLISECOND;
 
 /// File descriptors outside the connection table, for listeners, signals and files, with a reserve.
-const RESERVED_DESCRIPTORS: usize = 24;
+const RESERVED_FILE_DESCRIPTORS: usize = 24;
 /// Number of connections other than to clients that even the smallest machine allows.
 const MIN_OTHER_CONNECTIONS: usize = 16;
 /// Limits are derived from at least this much memory, even on a machine that has less.
@@ -216,22 +217,22 @@
 
 /// The limits of a machine with 1,024 file descriptors and 192 MB of memory.
 /// [`Limits::for_machine`] replaces those that depend on the machine.
-const DEFAULT_MACHINE: Limits = Limits {
-    descriptors: 1024,
+const DEFAULT_LIMITS: Limits = Limits {
+    file_descriptors: 1024,
     client_connections: 614,
     connections: 1000,
     spare_connections: 16,
-    accept_retry_interval_us: 20 * MS,
-    local_error_retry_interval_us: 10 * MS,
-    local_error_timeout_us: 500 * MS,
+    accept_retry_interval_us: 20 * MILLISECOND,
+    local_error_retry_interval_us: 10 * MILLISECOND,
+    local_error_timeout_us: 500 * MILLISECOND,
 
-    client_check_interval_us: 500 * MS,
+    client_check_interval_us: 500 * MILLISECOND,
     client_request_timeout_us: 2 * SECOND,
     client_idle_timeout_us: 5 * SECOND,
     client_write_timeout_us: 10 * SECOND,
-    lingering_close_us: 500 * MS,
+    lingering_close_us: 500 * MILLISECOND,
     lingering_close_bytes: 256 * KIB,
-    eviction_grace_us: 150 * MS,
+    eviction_grace_us: 150 * MILLISECOND,
 
     open_requests: MAX_OPEN_REQUESTS,
     requests_per_client: 32,
@@ -240,17 +241,17 @@
     body_bytes: 48_000,
     total_body_bytes: 48 * MIB,
     partial_request_bytes: 24 * MIB,
-    unread_tolerance_us: 20 * MS,
+    unread_tolerance_us: 20 * MILLISECOND,
     max_late_reads: 16,
     max_client_timeout_us: 120 * SECOND,
-    max_part: 65_535,
-    max_size_kb: 1e6,
+    max_part_number: 65_535,
+    max_part_size_kb: 1e6,
 
     unsent_answers_per_client: 256,
     unsent_answer_bytes: 48 * MIB,
-    answer_lead_us: 10 * MS,
+    answer_lead_us: 10 * MILLISECOND,
     deadline_check_interval_us: SECOND,
-    retry_after_us: 200 * MS,
+    retry_after_us: 200 * MILLISECOND,
 
     input_buffer_bytes: 16 * KIB,
     output_buffer_bytes: 64 * KIB,
@@ -259,36 +260,36 @@
     connections_per_server: 8,
     attempts_before_new_connection: 2,
     attempts_per_connection: 100,
-    connect_timeout_us: 400 * MS,
+    connect_timeout_us: 400 * MILLISECOND,
     unresponsive_after_us: SECOND,
-    server_write_timeout_us: 500 * MS,
+    server_write_timeout_us: 500 * MILLISECOND,
     max_reads_after_close: 64,
 
-    object_bytes: 512 * KIB,
-    partial_answer_timeout_us: 150 * MS,
+    answer_body_bytes: 512 * KIB,
+    partial_answer_timeout_us: 150 * MILLISECOND,
     unawaited_answer_timeout_us: SECOND,
-    cancel_settle_delay_us: 5 * MS,
+    cancel_settle_delay_us: 5 * MILLISECOND,
     stream_retention_us: 5 * SECOND,
 
     endpoint_list_bytes: MIB,
     event_bus_idle_timeout_us: 2 * SECOND,
-    reconnect_delay_us: 100 * MS,
-    max_reconnect_delay_us: 240 * MS,
+    reconnect_delay_us: 100 * MILLISECOND,
+    max_reconnect_delay_us: 240 * MILLISECOND,
     event_bus_response_timeout_us: 20 * SECOND,
     consul_timeout_us: 20 * SECOND,
-    gossip_repeat_delay_us: 40 * MS,
+    gossip_repeat_delay_us: 40 * MILLISECOND,
     permanent_purges: 20_000,
-    purge_log_retry_interval_us: 200 * MS,
+    purge_log_retry_interval_us: 200 * MILLISECOND,
 
     triggers: 1024,
     notifications: 64,
     notification_attempts: 3,
     notification_timeout_us: SECOND,
 
-    reload_retry_interval_us: 50 * MS,
+    reload_retry_interval_us: 50 * MILLISECOND,
     reload_timeout_us: 10 * SECOND,
 
-    shutdown_grace_us: 700 * MS,
+    shutdown_grace_us: 700 * MILLISECOND,
     shutdown_deadline_us: MAX_RESTART_DEADLINE_US + RESTART_GRACE_US - KILL_LEAD_US,
 
     log_lines_per_s: 100,
@@ -296,20 +297,20 @@
 
 impl Limits {
     /// Returns the limits of a machine with this many file descriptors and MB of memory.
-    pub fn for_machine(descriptors: usize, memory_mb: usize) -> Self {
-        let client_connections = (descriptors.saturating_mul(3) / 5).max(1);
+    pub fn for_machine(file_descriptors: usize, memory_mb: usize) -> Self {
+        let client_connections = (file_descriptors.saturating_mul(3) / 5).max(1);
         let memory_bytes = memory_mb.max(MIN_MEMORY_MB).saturating_mul(MIB);
         Limits {
-            descriptors,
+            file_descriptors,
             client_connections,
-            connections: descriptors
-                .saturating_sub(RESERVED_DESCRIPTORS)
+            connections: file_descriptors
+                .saturating_sub(RESERVED_FILE_DESCRIPTORS)
                 .max(client_connections + MIN_OTHER_CONNECTIONS),
             open_requests: MAX_OPEN_REQUESTS.min(memory_bytes / MEMORY_PER_OPEN_REQUEST_BYTES),
             total_body_bytes: memory_bytes / 4,
             partial_request_bytes: memory_bytes / 8,
             unsent_answer_bytes: memory_bytes / 4,
-            ..DEFAULT_MACHINE
+            ..DEFAULT_LIMITS
         }
     }
 
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long startup retries reading a configuration that can't be read temporarily.
+/// How long startup retries reading a configuration that is temporarily unreadable.
 const CONFIGURATION_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long startup waits before it reads the configuration again.
 const CONFIGURATION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/proxy/src/sys/fault.rs
+++ b/crates/proxy/src/sys/fault.rs
@@ -65,7 +65,8 @@
     /// Start of the time in which calls are affected, in milliseconds since the injector was
     /// created.
     pub from_ms: u64,
-    /// End of that time, in milliseconds since the injector was created. Exclusive.
+    /// End of the time in which calls are affected, in milliseconds since the injector was created.
+    /// Exclusive.
     pub until_ms: u64,
     /// Number of calls that are let through before the first call is affected. Only calls that the
     /// other conditions select are counted.
@@ -114,7 +115,8 @@
     pub clock_steps: Vec<ClockStep>,
 }
 
-struct State {
+/// The plan of an injector and what has been injected so far.
+struct InjectorState {
     plan: FaultPlan,
     random_state: u64,
     /// Number of affected calls by kind of call.
@@ -126,11 +128,11 @@
 #[derive(Clone)]
 pub struct FaultInjector {
     created_at: Instant,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<InjectorState>>,
 }
 
 thread_local! {
-    static INSTALLED: RefCell<Option<FaultInjector>> = const { RefCell::new(None) };
+    static CURRENT_INJECTOR: RefCell<Option<FaultInjector>> = const { RefCell::new(None) };
 }
 
 impl FaultInjector {
@@ -138,7 +140,7 @@
     pub fn new(plan: FaultPlan) -> Self {
         FaultInjector {
             created_at: Instant::now(),
-            state: Arc::new(Mutex::new(State {
+            state: Arc::new(Mutex::new(InjectorState {
                 random_state: plan.seed | 1,
                 plan,
                 injected: BTreeMap::new(),
@@ -148,7 +150,7 @@
 
     /// Starts to inject faults into the system calls of the current thread.
     pub fn install(&self) {
-        INSTALLED.set(Some(self.clone()));
+        CURRENT_INJECTOR.set(Some(self.clone()));
     }
 
     /// Adds a fault. Its times count from the creation of the injector.
@@ -157,7 +159,7 @@
     }
 
     /// Removes all faults for a kind of system call.
-    pub fn clear(&self, call: SystemCall) {
+    pub fn remove_faults(&self, call: SystemCall) {
         self.state().plan.faults.retain(|fault| fault.call != call);
     }
 
@@ -166,7 +168,7 @@
         self.state().injected.clone()
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, InjectorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -177,7 +179,7 @@
     fn next_effect(&self, call: SystemCall) -> Option<Effect> {
         let now_ms = self.elapsed_ms();
         let mut state = self.state();
-        let State {
+        let InjectorState {
             plan,
             random_state,
             injected,
@@ -214,7 +216,7 @@
 /// Applies the current thread's plan to a call. Returns the injected error, or the maximum number
 /// of bytes that the call may transfer, or None if the plan does not affect the call.
 pub(super) fn intercept(call: SystemCall) -> io::Result<Option<usize>> {
-    let effect = INSTALLED.with_borrow(|injector| injector.as_ref()?.next_effect(call));
+    let effect = CURRENT_INJECTOR.with_borrow(|injector| injector.as_ref()?.next_effect(call));
     match effect {
         None => Ok(None),
         Some(Effect::Error(errno)) => Err(io::Error::from_raw_os_error(errno)),
@@ -226,7 +228,7 @@
 /// Returns the current offset of the current thread's wall clock in microseconds, which is the sum
 /// of all steps so far. Returns 0 without a plan.
 pub(super) fn clock_offset_us() -> i64 {
-    INSTALLED.with_borrow(|injector| {
+    CURRENT_INJECTOR.with_borrow(|injector| {
         let Some(injector) = injector else {
             return 0;
         };
--- a/crates/proxy/src/sys/mod.rs
+++ b/crates/proxy/src/sys/mod.rs
@@ -69,8 +69,8 @@
     FileRename,
 }
 
-/// How often a call is made that signals keep interrupting, before the interruption is returned as
-/// an error.
+/// The maximum number of times that a system call is made if signals keep interrupting it. After
+/// that, the interruption is returned as an error.
 const MAX_INTERRUPTED_CALLS: u32 = 100;
 
 /// Makes a system call and repeats it if a signal interrupted it.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -33,7 +33,7 @@
     pub fn new(server: ServerId, limits: &Limits, now: Micros) -> Self {
         UpstreamConnection {
             server,
-            answers: resp::ArrayParser::new(limits.object_bytes),
+            answers: resp::ArrayParser::new(limits.answer_body_bytes),
             queue: VecDeque::new(),
             streams: HashMap::new(),
             liveness: Liveness::new(limits, now),
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -19,7 +19,7 @@
         (
             config.event_bus,
             config.known_events.last_offset,
-            config.limits.descriptors
+            config.limits.file_descriptors
         ),
         (None, 0, 1024)
     );
--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -32,7 +32,7 @@
         unknown_state,
         draining,
     ]);
-    let Some(DiscoveryEvent::List(EndpointListMode::Delta, servers)) = message.event else {
+    let Some(DiscoveryEvent::EndpointList(EndpointListMode::Delta, servers)) = message.event else {
         panic!("not a list: {message:?}");
     };
     let read: Vec<_> = servers
@@ -53,7 +53,7 @@
     let late =
         json!({"uid": "s-1", "endpoint": "10.1.0.9:6565", "state": "ready", "boot_ms": 12.0});
     let message = endpoint_list(&[entry("s-0"), late]);
-    let Some(DiscoveryEvent::List(_, servers)) = message.event else {
+    let Some(DiscoveryEvent::EndpointList(_, servers)) = message.event else {
         panic!("not a list: {message:?}");
     };
     let (full, bare) = (&servers[0].endpoint, &servers[1].endpoint);
--- a/crates/proxy/tests/late_reading.rs
+++ b/crates/proxy/tests/late_reading.rs
@@ -70,7 +70,7 @@
             .request_object(1, READ_CLASS, &object_key(2), LONG_BUDGET_MS)
             .unwrap();
         aborting_client.abort(1).unwrap();
-        injector.clear(call);
+        injector.remove_faults(call);
 
         assert_eq!(aborting_client.next_response().unwrap(), (1, None));
         let response = fetch_object(&mut other_client, READ_CLASS, &object_key(3));
@@ -101,7 +101,7 @@
         while hindered_at.elapsed() < Duration::from_millis(BUDGET_MS) {
             thread::sleep(Duration::from_millis(1));
         }
-        injector.clear(call);
+        injector.remove_faults(call);
 
         assert_eq!(next_status(&mut client), (1, 503), "{call:?}");
         let response = fetch_object(&mut other_client, READ_CLASS, &object_key(3));
@@ -168,7 +168,7 @@
         proxy.control.stop().unwrap();
         // Once the grace period is over nobody is accepted.
         while FastCgiClient::connect(proxy.fastcgi_address).is_ok() {}
-        injector.clear(call);
+        injector.remove_faults(call);
 
         assert!(is_closed(&mut served_client), "{call:?}");
         assert!(is_closed(&mut new_client), "{call:?}");
