--- a/crates/proxy/src/discovery/purge_log.rs
+++ b/crates/proxy/src/discovery/purge_log.rs
@@ -23,8 +23,8 @@
 /// An open purge log and the purges in it.
 pub struct PurgeLog {
     path: PathBuf,
-    /// The file, open for appending. None if the file must be rewritten, because a write has failed
-    /// and some purges may be missing from it, or because it has too many lines.
+    /// The file, open for writing further lines. None if the file must be rewritten, because a
+    /// write has failed and some purges may be missing from it, or because it has too many lines.
     file: Option<File>,
     /// Number of lines in the file.
     line_count: usize,
@@ -34,8 +34,9 @@
 
 impl PurgeLog {
     /// Reads the purge log at a path and rewrites it without lines that can't be read, such as a
-    /// line that a crash truncated. A file that does not exist contains no purges. If the rewrite
-    /// fails temporarily, the old file stays in place.
+    /// line that a crash truncated. A file that does not exist contains no purges. If the disk
+    /// temporarily does not accept the new file, the old file stays in place and the rewrite stays
+    /// pending for [`flush`](Self::flush).
     ///
     /// # Errors
     ///
@@ -52,7 +53,7 @@
             Err(error) if !errors::is_transient_at_startup(&error) => Err(error),
             Err(error) => {
                 log::warn!(
-                    "{}: cannot rewrite the purge log, keeping the old file for now: {error}",
+                    "{}: cannot rewrite the purge log, retrying later: {error}",
                     path.display()
                 );
                 Ok(purge_log)
@@ -152,7 +153,7 @@
 }
 
 /// Writes the purges to a new file, which replaces the file at `path` once it is complete on disk.
-/// Returns the new file, open for appending.
+/// Returns the new file, open for writing further lines.
 fn rewrite(path: &Path, last_purges: &BTreeMap<PurgeTarget, Micros>) -> io::Result<File> {
     let mut new_path = path.as_os_str().to_owned();
     new_path.push(".new");
