--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -114,7 +114,7 @@
             let attempts_in_flight =
                 upstream.load_if_available(request_id, &self.request_table, &self.limits)?;
             Some(Candidate {
-                has_no_cancelled_attempt: !upstream.cancelled_recently(request_id),
+                has_no_cancelled_attempt: !upstream.has_recent_cancellation(request_id),
                 is_connecting: !transport.is_connected,
                 attempts_in_flight,
                 key: *key,
@@ -179,7 +179,7 @@
         if !self.has_free_connection_slot() {
             return Err(ConnectError::TableFull);
         }
-        let address = self.request_table.address_of(server);
+        let address = self.request_table.server_address(server);
         let address = address.ok_or(ConnectError::ServerGone)?.address;
         let upstream = UpstreamConnection::new(server, &self.limits, now);
         let key = self.connect_to(now, address, ConnectionRole::Upstream(upstream))?;
--- a/crates/proxy/src/event_loop/upstreams/mod.rs
+++ b/crates/proxy/src/event_loop/upstreams/mod.rs
@@ -62,9 +62,9 @@
         let server = upstream.server;
         let mut events = Vec::new();
         let result = upstream.read(now, transport, &self.request_table, &mut events);
-        if events.iter().any(UpstreamEvent::is_not_final) {
-            // The connection remembers such an attempt for `stream_retention_us`. The check removes
-            // it after that time.
+        if events.iter().any(UpstreamEvent::allows_further_attempt) {
+            // The connection remembers such an attempt for `stream_retention_us`. The check removes it
+            // after that time.
             self.timers.schedule(
                 now + self.limits.stream_retention_us + 1,
                 TimerEvent::CheckUpstream(key),
@@ -81,7 +81,8 @@
                 self.connections
                     .upstream(key)
                     .is_some_and(|(transport, upstream)| {
-                        transport.is_connected && upstream.is_readable(now, &self.limits)
+                        transport.is_connected
+                            && upstream.can_parse_further_input(now, &self.limits)
                     });
             let Some((transport, _)) = self.connections.upstream_mut(key).filter(|_| is_readable)
             else {
@@ -117,7 +118,7 @@
             &self.limits,
             &mut events,
         );
-        let cancellation_report_at = upstream.next_cancellation_report(&self.limits);
+        let cancellation_report_at = upstream.next_cancellation_report_at(&self.limits);
         let answer_timeout_at = upstream
             .partial_answer_deadline(&self.limits)
             .filter(|_| is_usable);
@@ -132,7 +133,7 @@
         // A server that is draining or gone gets no new attempts. Its connections are closed once
         // all pending answers have arrived. If its machine has vanished, nothing else would close
         // them.
-        let is_drained = upstream.is_idle() && !self.request_table.accepts_work(server);
+        let is_drained = upstream.is_idle() && !self.request_table.is_server_ready(server);
         self.report_upstream_events(now, server, events);
         if !is_usable {
             return Err(CloseReason::UpstreamUnusable);
@@ -150,7 +151,7 @@
         }
         self.update_poll_interest(now, key);
         if let Some((_, upstream)) = self.connections.upstream_mut(key) {
-            upstream.forget_old_streams(now, &self.limits);
+            upstream.remove_expired_streams(now, &self.limits);
         }
     }
 
@@ -168,7 +169,7 @@
         let server = upstream.server;
         self.upstream_connections.remove(server, key);
         if reason == CloseReason::LocalFailure {
-            for attempt in upstream.take_queue() {
+            for attempt in upstream.take_queued_attempts() {
                 self.park_attempt(now, attempt, server, now);
             }
         }
