--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -166,10 +166,10 @@
             class: self.class()?.to_owned(),
             object: self.required_hexadecimal(Parameter::ResourceKey)?,
             part: self
-                .number(Parameter::Piece, 0, limits.max_part)?
+                .number(Parameter::Piece, 0, limits.max_part_number)?
                 .unwrap_or(0),
             group: self.number(Parameter::Lot, 0, MAXIMUM_GROUP)?.unwrap_or(0),
-            size_kb: self.size_kb(limits.max_size_kb)?,
+            size_kb: self.size_kb(limits.max_part_size_kb)?,
             remaining_us: self.remaining_us(limits)?,
             idempotency_key: self.hexadecimal(Parameter::OnceKey, IDEMPOTENCY_KEY_DIGITS)?,
             client_copy_tag: self.hexadecimal(Parameter::Version, ID_DIGITS)?,
@@ -240,7 +240,7 @@
     }
 
     fn remaining_us(&self, limits: &Limits) -> Result<Micros, InvalidParameter> {
-        let maximum_ms = limits.client_budget_us / MICROS_PER_MILLISECOND;
+        let maximum_ms = limits.max_client_timeout_us / MICROS_PER_MILLISECOND;
         let budget_ms = self
             .number(Parameter::BudgetMs, 1, maximum_ms)?
             .ok_or(InvalidParameter::Missing(Parameter::BudgetMs))?;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -33,7 +33,7 @@
     pub fn new(server: ServerId, limits: &Limits, now: Micros) -> Self {
         UpstreamConnection {
             server,
-            answer_parser: resp::ArrayParser::new(limits.object_bytes),
+            answer_parser: resp::ArrayParser::new(limits.answer_body_bytes),
             queue: VecDeque::new(),
             streams: HashMap::new(),
             liveness: Liveness::new(limits, now),
@@ -94,7 +94,7 @@
     pub fn probe(&mut self, now: Micros, socket: &mut BufferedSocket) -> bool {
         let id = format!("probe-{}", self.probes_sent);
         let command = command::encode_stats(&id);
-        if !socket.connected || socket.output.free_space() < command.len() {
+        if !socket.is_connected || socket.output.free_space() < command.len() {
             return false;
         }
         socket.output.push(&command);
@@ -103,10 +103,10 @@
         true
     }
 
-    /// Removes streams that were cancelled or answered more than `Limits::stream_memory_us` ago.
+    /// Removes streams that were cancelled or answered more than `Limits::stream_retention_us` ago.
     pub fn remove_expired_streams(&mut self, now: Micros, limits: &Limits) {
         self.streams
-            .retain(|_, stream| !stream.is_expired(now, limits.stream_memory_us));
+            .retain(|_, stream| !stream.is_expired(now, limits.stream_retention_us));
     }
 
     /// Removes and returns all queued attempts. No byte of them has been written.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -24,7 +24,7 @@
 //! - An attempt in the output buffer of which no byte is written can still be removed, like an
 //!   attempt in the queue.
 //! - An answer that arrives before the cancellation is reported ends the attempt in the usual way.
-//! - `Cancelled` and `Answered` streams are kept for `Limits::stream_memory_us`. Without them, a
+//! - `Cancelled` and `Answered` streams are kept for `Limits::stream_retention_us`. Without them, a
 //!   late or repeated answer under their id could be mistaken for the answer to a further attempt
 //!   of the same request.
 //! - An answer with a copy older than the attempt accepts ends the attempt with an error. The first
--- a/crates/proxy/src/upstream/timeouts.rs
+++ b/crates/proxy/src/upstream/timeouts.rs
@@ -103,7 +103,7 @@
 
     /// Records whether bytes wait to be written, and whether any were written since the last call.
     pub(super) fn record_output_state(&mut self, now: Micros, socket: &BufferedSocket) {
-        if !socket.connected || socket.output.is_empty() {
+        if !socket.is_connected || socket.output.is_empty() {
             self.write_wait = None;
             return;
         }
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -45,7 +45,7 @@
         headers,
     };
     let entries = consul
-        .response(&message(&head, body.to_string().as_bytes()))
+        .handle_response(&message(&head, body.to_string().as_bytes()))
         .unwrap()?;
     Some(
         entries
@@ -57,7 +57,7 @@
 
 /// Returns the path and query string of the next request.
 fn next_request_target(consul: &Consul) -> String {
-    let request = String::from_utf8(consul.request("c:8500")).unwrap();
+    let request = String::from_utf8(consul.next_request("c:8500")).unwrap();
     request.split(' ').nth(1).unwrap().to_owned()
 }
 
@@ -140,14 +140,14 @@
         );
     }
     handle_response(&mut consul, 8, &health_response(&[]));
-    consul.failed();
+    consul.handle_failure();
     assert_eq!(next_request_target(&consul), "/v1/health/service/s");
     let head = Head {
         start: "HTTP/1.1 500 Internal Server Error".to_owned(),
         headers: vec![],
     };
     assert!(consul
-        .response(&message(&head, b"rpc error"))
+        .handle_response(&message(&head, b"rpc error"))
         .unwrap_err()
         .to_string()
         .contains("500"));
@@ -157,7 +157,7 @@
     };
     let error_text = |consul: &mut Consul, body: Value| {
         consul
-            .response(&message(&head, body.to_string().as_bytes()))
+            .handle_response(&message(&head, body.to_string().as_bytes()))
             .unwrap_err()
             .to_string()
     };
--- a/crates/proxy/tests/event_bus_subscription.rs
+++ b/crates/proxy/tests/event_bus_subscription.rs
@@ -149,7 +149,7 @@
             config["known"] = Value::Null;
             config["bus"] = event_bus.address.to_string().into();
         })
-        .limits(|limits| limits.event_bus_silence_us = SILENCE_US)
+        .limits(|limits| limits.event_bus_idle_timeout_us = SILENCE_US)
         .start();
 
     // The event bus does not answer in time, and the proxy connects again. Then the answer arrives
--- a/crates/proxy/tests/late_reading.rs
+++ b/crates/proxy/tests/late_reading.rs
@@ -72,7 +72,7 @@
             .request_object(1, READ_CLASS, &object_key(2), LONG_BUDGET_MS)
             .unwrap();
         aborting_client.abort(1).unwrap();
-        injector.clear(call);
+        injector.remove_faults(call);
 
         assert_eq!(aborting_client.next_response().unwrap(), (1, None));
         let response = fetch_object(&mut other_client, READ_CLASS, &object_key(3));
@@ -109,7 +109,7 @@
         while failed_at.elapsed() < Duration::from_millis(BUDGET_MS) {
             thread::sleep(Duration::from_millis(1));
         }
-        injector.clear(call);
+        injector.remove_faults(call);
 
         assert_eq!(
             next_status(&mut client),
@@ -192,7 +192,7 @@
         proxy.control.stop().unwrap();
         // After the grace period no connection is accepted.
         while FastCgiClient::connect(proxy.fastcgi_address).is_ok() {}
-        injector.clear(call);
+        injector.remove_faults(call);
 
         assert!(
             is_closed(&mut served_client),
--- a/crates/proxy/tests/reference_time.rs
+++ b/crates/proxy/tests/reference_time.rs
@@ -28,7 +28,7 @@
     ] {
         let mut time = ReferenceTime::default();
         for age_us in [9_000_000, 2_000_000, 5_000_000] {
-            time.event_arrived(clock_us, FLEET_START_US - age_us);
+            time.observe_event(clock_us, FLEET_START_US - age_us);
         }
         assert_eq!(time.to_local(FLEET_START_US - 2_000_000), clock_us);
         assert_eq!(
@@ -44,10 +44,10 @@
 fn a_fresh_copy_moves_the_estimate_and_reports_by_how_much() {
     let mut time = ReferenceTime::default();
     let clock_us = FLEET_START_US + ONE_HOUR_US;
-    assert_eq!(time.event_arrived(clock_us, FLEET_START_US - 2_000_000), 0);
+    assert_eq!(time.observe_event(clock_us, FLEET_START_US - 2_000_000), 0);
     assert_eq!(time.to_local(FLEET_START_US - 2_000_000), clock_us);
 
-    let moved_us = time.copy_arrived(clock_us, FLEET_START_US - 15_000);
+    let moved_us = time.observe_copy(clock_us, FLEET_START_US - 15_000);
 
     assert_eq!(moved_us, 1_985_000);
     assert_eq!(
@@ -55,7 +55,7 @@
         clock_us - moved_us
     );
     assert_eq!(
-        time.copy_arrived(clock_us, FLEET_START_US - ONE_HOUR_US),
+        time.observe_copy(clock_us, FLEET_START_US - ONE_HOUR_US),
         0,
         "an old copy moved the estimate of the fleet's time"
     );
@@ -67,20 +67,20 @@
 fn a_copy_from_ahead_of_the_clock_counts_only_if_another_copy_confirms_it() {
     let mut time = ReferenceTime::default();
     let clock_us = FLEET_START_US - ONE_HOUR_US;
-    time.event_arrived(clock_us, clock_us);
-    assert_eq!(time.copy_arrived(clock_us, FLEET_START_US), 0);
+    time.observe_event(clock_us, clock_us);
+    assert_eq!(time.observe_copy(clock_us, FLEET_START_US), 0);
     assert_eq!(
-        time.copy_arrived(clock_us, FLEET_START_US - 100_000),
+        time.observe_copy(clock_us, FLEET_START_US - 100_000),
         ONE_HOUR_US - 100_000
     );
     for _ in 0..3 {
         assert_eq!(
-            time.copy_arrived(clock_us, u64::MAX),
+            time.observe_copy(clock_us, u64::MAX),
             0,
             "an implausible timestamp moved the estimate of the fleet's time"
         );
         assert_eq!(
-            time.copy_arrived(clock_us, FLEET_START_US + 48 * ONE_HOUR_US),
+            time.observe_copy(clock_us, FLEET_START_US + 48 * ONE_HOUR_US),
             0
         );
     }
@@ -102,9 +102,9 @@
             let (now_us, fleet_us) = (clock_us + elapsed_us, FLEET_START_US + elapsed_us);
             let stamp_us = fleet_us - age_us;
             if is_event {
-                time.event_arrived(now_us, stamp_us);
+                time.observe_event(now_us, stamp_us);
             } else {
-                time.copy_arrived(now_us, stamp_us);
+                time.observe_copy(now_us, stamp_us);
             }
             // Until a timestamp is accepted, the fleet's time is unknown.
             if time.to_local(stamp_us) != stamp_us || clock_us <= FLEET_START_US {
