--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -17,7 +17,7 @@
     pub seed: Option<String>,
     pub limits: Option<Object<MachineLimits>>,
     pub bus: Option<SocketAddr>,
-    pub known: Option<Object<KnownEventsDocument>>,
+    pub known: Option<Object<StartupEventsDocument>>,
     #[expect(
         dead_code,
         reason = "only checked to be present; edge_settings reads it from the JSON value"
@@ -35,10 +35,10 @@
     pub memory_mb: Option<WholeNumber>,
 }
 
-/// `known`: the events of the event bus from before the start of the proxy.
+/// `known`: the events that the event bus published before the start of the proxy.
 #[derive(Default, Deserialize)]
-pub(super) struct KnownEventsDocument {
-    /// Number of the last event.
+pub(super) struct StartupEventsDocument {
+    /// Number of the last event published before the start.
     pub offset: Option<WholeNumber>,
     #[expect(
         dead_code,
@@ -47,9 +47,10 @@
     pub batch: Option<Vec<IgnoredAny>>,
 }
 
-/// The deployment-specific file, by default `deploy/interconnect.json`.
+/// The deployment file, by default `deploy/interconnect.json`. It configures the interconnect and
+/// Consul.
 #[derive(Deserialize)]
-pub(super) struct InterconnectDocument {
+pub(super) struct DeploymentDocument {
     /// Read as an [`InterconnectListen`], and as an [`InterconnectFields`] if that has an address.
     pub cdni: Option<Value>,
     pub consul: Option<Object<ConsulFields>>,
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -8,7 +8,7 @@
 use std::io;
 
 /// Why a configuration cannot be used. The message names the file, if the configuration comes from
-/// one, and the key at fault.
+/// one, and the key, if a single key is at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The environment does not name a configuration file.
@@ -53,9 +53,9 @@
         /// The values that are valid.
         expected: &'static str,
     },
-    /// An event from before the start of the proxy cannot be read.
+    /// An event to be replayed at startup cannot be read.
     #[error("known: event {index} of 'batch': {source}")]
-    KnownEvent {
+    StartupEvent {
         /// Index in the list of events.
         index: usize,
         /// The error in the event.
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,5 +1,5 @@
 //! The configuration of a proxy: the files and environment variables that it is read from, its
-//! defaults, and its validation. Errors name the key at fault.
+//! defaults, and its validation. An error that concerns a single key names the key.
 
 mod document;
 mod error;
@@ -12,8 +12,8 @@
 use crate::limits::Limits;
 use crate::sys;
 use document::{
-    ConfigDocument, InterconnectDocument, InterconnectFields, InterconnectListen,
-    KnownEventsDocument, MachineLimits, PeerCdnFields,
+    ConfigDocument, DeploymentDocument, InterconnectFields, InterconnectListen, MachineLimits,
+    PeerCdnFields, StartupEventsDocument,
 };
 use edge_routing::{Class, Settings};
 use edge_settings::json::{read, Object, WholeNumber};
@@ -35,13 +35,14 @@
     pub seed: u64,
     /// The limits that follow from the size of the machine and the settings.
     pub limits: Limits,
-    /// Address of the event bus. None if the endpoint list has another source.
+    /// Address of the event bus, the source of purges and, without Consul, of the endpoint list.
+    /// None if there is no event bus.
     pub event_bus: Option<SocketAddr>,
-    /// The events of the event bus from before the start of the proxy.
-    pub known_events: KnownEvents,
+    /// The events that are replayed at startup.
+    pub startup_events: StartupEvents,
     /// The settings of the routing module.
     pub settings: Settings,
-    /// Purge gossip between the proxies of an installation. None if it is disabled.
+    /// Purge gossip between the proxies of a deployment. None if it is disabled.
     pub purge_gossip: Option<PurgeGossipConfig>,
     /// The interconnect with peer CDNs. None if it is disabled.
     pub interconnect: Option<InterconnectConfig>,
@@ -49,10 +50,11 @@
     pub consul: Option<ConsulConfig>,
 }
 
-/// The events of the event bus from before the start of the proxy.
+/// The events that the event bus published before the start of the proxy. The proxy replays them at
+/// startup and requests the events after them from the event bus.
 #[derive(Clone, Debug, Default)]
-pub struct KnownEvents {
-    /// Number of the last event.
+pub struct StartupEvents {
+    /// Number of the last event published before the start.
     pub last_offset: u64,
     /// The events, in the order of their numbers.
     pub events: Vec<EventBusMessage>,
@@ -63,7 +65,7 @@
 pub struct PurgeGossipConfig {
     /// The address on which gossip datagrams are received.
     pub listen: SocketAddr,
-    /// The addresses of all proxies of the installation. This proxy may be among them.
+    /// The addresses of all proxies of the deployment. This proxy may be among them.
     pub peers: Vec<SocketAddr>,
 }
 
@@ -83,13 +85,14 @@
     pub listen: SocketAddr,
     /// The identity that this network presents to peer CDNs.
     pub identity: Identity,
-    /// Path of the purge log. Without one, permanent purges last only as long as the process.
+    /// Path of the purge log. If it is None, the purges that only the proxies are notified of are
+    /// forgotten at a restart.
     pub purge_log: Option<PathBuf>,
 }
 
 const CONFIG_PATH_VARIABLE: &str = "ROUTER_CONFIG";
-const INTERCONNECT_PATH_VARIABLE: &str = "EDGE_PROXY_INTERCONNECT";
-const DEFAULT_INTERCONNECT_PATH: &str = "deploy/interconnect.json";
+const DEPLOYMENT_PATH_VARIABLE: &str = "EDGE_PROXY_INTERCONNECT";
+const DEFAULT_DEPLOYMENT_PATH: &str = "deploy/interconnect.json";
 /// Keys of the configuration, each with the environment variable that is used if the file lacks the
 /// key.
 const FALLBACK_VARIABLES: [(&str, &str); 2] =
@@ -102,9 +105,10 @@
 const DEFAULT_CONSUL_SERVICE: &str = "pop-cache";
 const DEFAULT_TRIGGERS_PATH: &str = "/cdni/triggers";
 
-/// Cache servers may complete a purge this many microseconds later than the settings say, because
-/// everything takes longer on real sockets. Until a purge is complete, requests must limit the age
-/// of a copy.
+/// Added to the purge completion time of the settings, in microseconds, because cache servers
+/// complete a purge later over real sockets. For this time after the purge of a whole group, the
+/// router attributes late attempts for the group to slow fills and not to their servers. It limits
+/// the age of copies for longer than that, for as long as it remembers the purge.
 const PURGE_COMPLETION_SLACK_US: u64 = 50_000;
 /// Upper bound of the Retry-After that is sent if the request table is full, in microseconds.
 const MAX_RETRY_AFTER_US: u64 = 200_000;
@@ -112,18 +116,18 @@
 impl Config {
     /// Reads the file that `ROUTER_CONFIG` names. If it lacks the keys `name` or `listen`, uses the
     /// environment variables `ROUTER_NAME` and `ROUTER_LISTEN`. The interconnect and Consul are
-    /// configured in a deployment-specific file: the one that `EDGE_PROXY_INTERCONNECT` names, or
-    /// otherwise `deploy/interconnect.json` if it exists.
+    /// configured in the deployment file: the one that `EDGE_PROXY_INTERCONNECT` names, or otherwise
+    /// `deploy/interconnect.json` if it exists.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::PathNotSet)?;
         let mut document = read_file(&path)?;
         apply_fallback_variables(&mut document);
         let mut config = Self::from_json(&document).map_err(in_file(&path))?;
-        let named = std::env::var(INTERCONNECT_PATH_VARIABLE).ok();
-        let path = named.as_deref().unwrap_or(DEFAULT_INTERCONNECT_PATH);
-        if named.is_some() || Path::new(path).exists() {
+        let path_from_env = std::env::var(DEPLOYMENT_PATH_VARIABLE).ok();
+        let path = path_from_env.as_deref().unwrap_or(DEFAULT_DEPLOYMENT_PATH);
+        if path_from_env.is_some() || Path::new(path).exists() {
             config
-                .apply_interconnect(&read_file(path)?)
+                .apply_deployment(&read_file(path)?)
                 .map_err(in_file(path))?;
         }
         Ok(config)
@@ -134,7 +138,7 @@
         let Object(document): Object<ConfigDocument> = read(value)?;
         let settings = read_settings(&value["settings"])?;
         let Object(machine) = document.limits.unwrap_or_default();
-        let Object(known) = document.known.unwrap_or_default();
+        let Object(startup_events) = document.known.unwrap_or_default();
         let peers = document.peers.unwrap_or_default();
         Ok(Config {
             name: document.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
@@ -142,7 +146,7 @@
             seed: read_seed(document.seed.as_deref().unwrap_or(DEFAULT_SEED))?,
             limits: read_limits(&machine, &settings)?,
             event_bus: document.bus,
-            known_events: read_known_events(&known, &value["known"]["batch"])?,
+            startup_events: read_startup_events(&startup_events, &value["known"]["batch"])?,
             settings,
             purge_gossip: document
                 .peer_listen
@@ -152,10 +156,10 @@
         })
     }
 
-    /// Adds the configuration of the interconnect and of Consul from the deployment-specific file.
-    /// Each is disabled unless the file gives an address for it.
-    pub fn apply_interconnect(&mut self, value: &Value) -> Result<(), ConfigError> {
-        let Object(document): Object<InterconnectDocument> = read(value)?;
+    /// Adds the configuration of the interconnect and of Consul from the JSON form of the deployment
+    /// file. Each is disabled unless the file gives an address for it.
+    pub fn apply_deployment(&mut self, value: &Value) -> Result<(), ConfigError> {
+        let Object(document): Object<DeploymentDocument> = read(value)?;
         if let Some(fields) = document.cdni {
             self.interconnect = read_interconnect(&fields, &self.settings.classes)?;
         }
@@ -170,8 +174,9 @@
     }
 
     /// Returns the changed keys of a new configuration that take effect only after a restart,
-    /// because sockets, tables and the routing module are built from them at startup. `seed` and
-    /// `known` are not among them. They differ at every start and do not affect a running proxy.
+    /// because sockets, tables and the routing module are built from them at startup. The other
+    /// keys are never returned. `bus` and `peers` take effect at once. `seed` and `known` are
+    /// ignored, because they differ at every start and do not affect a running proxy.
     pub fn changes_requiring_restart(&self, new: &Config) -> Vec<&'static str> {
         let peer_listen = |config: &Config| Some(config.purge_gossip.as_ref()?.listen);
         let changes = [
@@ -191,7 +196,6 @@
     }
 }
 
-/// Reads a JSON file.
 fn read_file(path: &str) -> Result<Value, ConfigError> {
     let bytes = sys::read_file(Path::new(path)).map_err(|source| ConfigError::Unreadable {
         path: path.to_owned(),
@@ -253,7 +257,7 @@
     })
 }
 
-/// Reads a key of `limits`.
+/// Returns the value of a key of `limits`, or `default` if the key is absent.
 fn read_machine_limit(
     key: &str,
     value: Option<WholeNumber>,
@@ -268,20 +272,20 @@
         })
 }
 
-fn read_known_events(
-    document: &KnownEventsDocument,
+fn read_startup_events(
+    document: &StartupEventsDocument,
     batch: &Value,
-) -> Result<KnownEvents, ConfigError> {
+) -> Result<StartupEvents, ConfigError> {
     let events = batch
         .as_array()
         .into_iter()
         .flatten()
         .enumerate()
         .map(|(index, event)| {
-            read_event(event).map_err(|source| ConfigError::KnownEvent { index, source })
+            read_event(event).map_err(|source| ConfigError::StartupEvent { index, source })
         })
         .collect::<Result<_, _>>()?;
-    Ok(KnownEvents {
+    Ok(StartupEvents {
         last_offset: WholeNumber::value_or(document.offset, 0),
         events,
     })
--- a/crates/proxy/src/event_loop/mod.rs
+++ b/crates/proxy/src/event_loop/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! | Task | Module |
 //! | --- | --- |
-//! | Binding sockets, replaying stored purges and known events | `startup` |
+//! | Binding sockets, replaying stored purges and earlier events | `startup` |
 //! | Accepting client connections, pausing and resuming | `acceptor` |
 //! | The connection table: opening and closing connections | `connections` |
 //! | Handling readiness of a connection: reading and writing | `readiness` |
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -143,7 +143,7 @@
         let purge_gossip = start_purge_gossip(&config, &poller)?;
         let limits = config.limits.clone();
         let request_table = RequestTable::new(config.settings.clone(), config.seed, &limits)?;
-        let known = std::mem::take(&mut config.known_events);
+        let startup_events = std::mem::take(&mut config.startup_events);
         let clock = Clock::start();
         let mut event_loop = EventLoop {
             earliest_ready_at: clock.now(),
@@ -157,7 +157,7 @@
             acceptors: Acceptors::new(fastcgi, acceptor),
             clients: ClientAccounting::default(),
             upstream_connections: UpstreamConnections::default(),
-            event_bus: EventBusSubscription::new(known.last_offset, &limits, config.seed),
+            event_bus: EventBusSubscription::new(startup_events.last_offset, &limits, config.seed),
             consul: start_consul(&config),
             purge_gossip,
             interconnect,
@@ -168,7 +168,7 @@
         if !event_loop.is_purge_log_flushed() {
             event_loop.schedule_purge_log_retry(now);
         }
-        event_loop.replay_purges_and_events(now, known.events);
+        event_loop.replay_purges_and_events(now, startup_events.events);
         event_loop.connect_event_bus(now);
         event_loop.query_consul(now);
         event_loop.execute_commands(now);
@@ -176,8 +176,8 @@
         Ok(event_loop)
     }
 
-    /// Applies the purges from the purge log, then the known events from before the start.
-    fn replay_purges_and_events(&mut self, now: Micros, known_events: Vec<EventBusMessage>) {
+    /// Applies the purges from the purge log, then the events that were published before the start.
+    fn replay_purges_and_events(&mut self, now: Micros, events: Vec<EventBusMessage>) {
         let purge_log = self
             .interconnect
             .as_ref()
@@ -189,7 +189,7 @@
             self.request_table
                 .purge_permanently(now, purge.object, purge.group, now);
         }
-        for event in known_events {
+        for event in events {
             self.apply_event_bus_message(now, event);
         }
     }
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -21,7 +21,7 @@
     assert_eq!(
         (
             config.event_bus,
-            config.known_events.last_offset,
+            config.startup_events.last_offset,
             config.limits.file_descriptors
         ),
         (None, 0, 1024)
@@ -67,7 +67,7 @@
     let mut config = read_config(&minimal_config()).unwrap();
     let shipped: Value =
         serde_json::from_str(include_str!("../../../deploy/interconnect.json")).unwrap();
-    config.apply_interconnect(&shipped).unwrap();
+    config.apply_deployment(&shipped).unwrap();
     assert!(config.interconnect.is_none() && config.consul.is_none());
     for (file, key) in [
         (json!({"cdni": {"listen": "x"}}), "listen"),
@@ -81,7 +81,7 @@
         ),
         (json!({"consul": {"address": "x"}}), "address"),
     ] {
-        let message = config.apply_interconnect(&file).unwrap_err().to_string();
+        let message = config.apply_deployment(&file).unwrap_err().to_string();
         assert!(message.contains(key), "{message}");
     }
 }
@@ -94,7 +94,7 @@
     let mut config = read_config(&serde_json::from_str(text).unwrap()).unwrap();
     let text = include_str!("../../../examples/interconnect.json");
     config
-        .apply_interconnect(&serde_json::from_str(text).unwrap())
+        .apply_deployment(&serde_json::from_str(text).unwrap())
         .unwrap();
     assert!(config.interconnect.is_some());
 }
--- a/crates/testkit/src/proxy_fixture.rs
+++ b/crates/testkit/src/proxy_fixture.rs
@@ -224,7 +224,7 @@
         let interconnect_file = interconnect_file(&mut config_file);
         let mut config = Config::from_json(&config_file).unwrap();
         (self.change_limits)(&mut config.limits);
-        config.apply_interconnect(&interconnect_file).unwrap();
+        config.apply_deployment(&interconnect_file).unwrap();
 
         let config_file = Arc::new(Mutex::new(config_file));
         let pause_gate = PauseGate::default();
