--- a/crates/proxy/src/discovery/consul.rs
+++ b/crates/proxy/src/discovery/consul.rs
@@ -181,8 +181,8 @@
             .header("x-consul-index")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        // Consul's index decreases if Consul was restored or replaced. The next query must then
-        // return at once.
+        // Consul's index decreases if Consul was restored or replaced. The instances must then be
+        // read again, so the next health query must not wait for a change.
         self.index = if index < self.index { 0 } else { index };
         let instances: Vec<Object<HealthInstance>> = read(value)?;
         self.instances = instances
--- a/crates/proxy/src/discovery/event_bus.rs
+++ b/crates/proxy/src/discovery/event_bus.rs
@@ -45,12 +45,13 @@
     /// A key of the event's purge is missing or holds a value of the wrong type.
     #[error("ban: {0}")]
     Purge(ReadError),
-    /// The event's purge names neither an object nor a group.
-    #[error("ban: field 'tag' is missing or not a whole number")]
+    /// The event's purge names no object, and its group is missing or not a whole number.
+    #[error("ban: field 'url' is missing, and field 'tag' is missing or not a whole number")]
     PurgeWithoutTarget,
 }
 
-/// An event in its JSON form. It contains either an endpoint list or a purge.
+/// An event in its JSON form. If it contains both an endpoint list and a purge, only the list is
+/// used. If it contains neither, its type is unknown to the proxy.
 #[derive(Deserialize)]
 struct RawEvent {
     offset: WholeNumber,
@@ -108,12 +109,16 @@
 }
 
 /// Reads an entry of the endpoint list. Returns None for an entry that cannot be read. Skipping it
-/// lets the other entries take effect, such as the draining of a server.
+/// lets the other entries take effect, such as the draining of a server. In a snapshot, the server
+/// of a skipped entry counts as gone.
 fn read_entry(value: &Value) -> Option<ListedServer> {
     match read::<Object<EndpointEntry>>(value) {
         Ok(Object(entry)) => Some(entry.into()),
         Err(error) => {
-            log::warn!("event bus: skipping an endpoint list entry that cannot be read: {error}");
+            log::warn!(
+                "event bus: skipping an endpoint list entry that cannot be read; if the list is a \
+                 snapshot, the server of the entry counts as gone: {error}"
+            );
             None
         }
     }
@@ -178,7 +183,8 @@
     /// # Errors
     ///
     /// Returns an error if the stream violates the protocol or has ended. The connection must be
-    /// closed.
+    /// closed. The events that were read earlier in the same call are lost: they are not returned,
+    /// although `last_offset` already includes them.
     pub fn read(
         &mut self,
         now: Micros,
@@ -195,7 +201,7 @@
                 None => return Ok(messages),
                 Some(http::Piece::Head(head)) if head.status() != Some(200) => {
                     return Err(ProtocolError::Malformed(
-                        "the event bus's response (expected status 200)",
+                        "the event bus responded with a status other than 200, so its event stream",
                     ));
                 }
                 Some(http::Piece::Head(_)) => {}
@@ -204,7 +210,7 @@
                 }
                 Some(http::Piece::End) => {
                     return Err(ProtocolError::Malformed(
-                        "the event bus's response (expected a stream without an end)",
+                        "the event bus ended a response that must not end, so its event stream",
                     ));
                 }
             }
@@ -222,7 +228,7 @@
             bytes = &bytes[consumed..];
             let Some(event) = event else { continue };
             let value = serde_json::from_str(&event.data).map_err(|_| {
-                ProtocolError::Malformed("an event of the event bus (expected JSON)")
+                ProtocolError::Malformed("an event from the event bus (expected JSON)")
             })?;
             match read_event(&value) {
                 Ok(message) if message.offset > *last_offset => {
@@ -233,7 +239,10 @@
                 // return the endpoint list to an earlier state.
                 Ok(_) => {}
                 Err(error) => {
-                    log::warn!("event bus: skipping an event that cannot be read: {error}")
+                    log::warn!(
+                        "event bus: event {} cannot be read and its content is not applied: {error}",
+                        value["offset"]
+                    )
                 }
             }
         }
--- a/crates/proxy/src/discovery/purge_gossip.rs
+++ b/crates/proxy/src/discovery/purge_gossip.rs
@@ -1,4 +1,4 @@
-//! Format of purge gossip. The proxies of an installation send each other datagrams with the purges
+//! Format of purge gossip. The proxies of a deployment send each other datagrams with the purges
 //! that only one of them was notified of. The purge log uses the same format, with one purge on
 //! each line.
 //!
--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -17,8 +17,9 @@
 /// The bound is raised in steps of at least this size, because each step requires a pass over all
 /// servers.
 const MIN_STEP_US: i64 = 10_000;
-/// The timestamp of a copy may be wrong. If it would raise the bound, it counts only if the
-/// previous such timestamp implies a lead that differs by at most this much.
+/// The timestamp of a copy may be wrong. If it says that the local clock is late (a positive lead)
+/// and would raise the bound, it counts only if the previous such timestamp implies a lead that
+/// differs by at most this much.
 const MAX_CONFIRMATION_DIFFERENCE_US: i64 = 1_000_000;
 /// A timestamp of a copy that exceeds the known bound by more than this (24 hours) is wrong and is
 /// ignored.
@@ -30,8 +31,8 @@
     /// The fleet's time is ahead of the local clock by at least this much. None before any
     /// timestamp has arrived.
     min_lead_us: Option<i64>,
-    /// The lead that follows from the last timestamp of a copy that would have raised the bound and
-    /// needed confirmation by another copy.
+    /// The lead that follows from the last timestamp of a copy that needed confirmation by another
+    /// copy, because its lead is positive and would have raised the bound.
     unconfirmed_lead_us: Option<i64>,
 }
 
--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -36,8 +36,9 @@
     token: u64,
     /// Whether the poller watches the listener. False while accepting is paused.
     is_watched: bool,
-    /// Time since which accepting has failed, or `None` after a success. Connections may have been
-    /// waiting in the kernel's queue since this time.
+    /// Time since which accepting has failed with an error other than `OutOfMemory`, which is the
+    /// error of a full connection table. `None` once all waiting connections are accepted.
+    /// Connections accepted until then may have been waiting in the kernel's queue since this time.
     accept_failing_since: Option<Micros>,
 }
 
@@ -176,8 +177,9 @@
         }
     }
 
-    /// Returns whether connections are accepted at a listener. After the grace period of a shutdown
-    /// only connections that were already waiting when accepting failed are accepted.
+    /// Returns whether connections are accepted at a listener. After the grace period of a
+    /// shutdown, connections are accepted only while accepting has failed since before its end, so
+    /// that those that were waiting then are not lost.
     fn is_accepting(&self, kind: ListenerKind) -> bool {
         match self.acceptors.get(kind) {
             Some(_) if !self.shutdown.is_grace_over() => true,
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -181,8 +181,9 @@
         }
     }
 
-    /// Handles the buffered input from the event bus. Events that arrived before an error are still
-    /// applied.
+    /// Handles the buffered input from the event bus. Events that earlier calls of
+    /// [`EventStreamClient::read`] returned are still applied after an error. The events of the
+    /// call that fails are lost.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -1,4 +1,4 @@
-//! Exchange of purges between the proxies of one installation over UDP, and storage of purges
+//! Exchange of purges between the proxies of one deployment over UDP, and storage of purges
 //! across restarts.
 
 use super::timer::TimerEvent;
@@ -21,7 +21,7 @@
 /// The socket for purge gossip, and the peer proxies with which purges are exchanged.
 pub(super) struct PurgeGossip {
     socket: UdpSocket,
-    /// Addresses of all proxies of the installation. May include this proxy.
+    /// Addresses of all proxies of the deployment. May include this proxy.
     pub(super) peers: Vec<SocketAddr>,
 }
 
@@ -45,7 +45,8 @@
             let (length, sender) = match self.socket.recv_from(&mut buffer) {
                 Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
-                // Any other error affects a single datagram.
+                // Any other error is taken to concern this call only. The datagrams behind it must
+                // still be received.
                 Err(_) => continue,
             };
             if !self.peers.contains(&sender) {
@@ -60,6 +61,7 @@
     fn send(&self, datagram: &str) {
         let own = self.socket.local_addr().ok();
         for peer in self.peers.iter().filter(|peer| Some(**peer) != own) {
+            // A datagram that can't be sent counts as lost.
             let _ = self.socket.send_to(datagram.as_bytes(), peer);
         }
     }
@@ -91,11 +93,12 @@
     }
 
     /// Applies a purge for as long as the proxy runs, and stores it across restarts. Such a purge
-    /// is permanent because no other component enforces it. Returns false if the purge is in force
-    /// but not yet written to the disk. Returns true also if the request table has no room for the
-    /// purge, so that it is not in force.
+    /// is permanent because no other component enforces it. Returns whether nothing is left to be
+    /// written: true if the purge is on disk, if no purge log is configured, or if the purge was
+    /// refused because the request table has no room for it.
     pub(super) fn purge_permanently(&mut self, now: Micros, purge: Purge) -> bool {
-        // The purge is dated `now`, because its time stamp comes from a clock that may be wrong.
+        // A peer's timestamp may be wrong, so the purge takes effect from `now`. The purge log keeps
+        // the original time.
         let (object, group) = (purge.object.clone(), purge.group);
         let is_in_force = self
             .request_table
@@ -103,22 +106,24 @@
         if !is_in_force {
             return true;
         }
-        let logged = match self.purge_log() {
+        let write_result = match self.purge_log() {
             Some(purge_log) => purge_log.add(&purge),
             None => Ok(()),
         };
-        if let Err(e) = &logged {
+        if let Err(e) = &write_result {
             log::error!(
-                "cannot write a purge to the purge log, retrying in {} ms; it is in force but \
-                 would be lost at a restart: {e}",
+                "cannot write a purge (object {}, group {}) to the purge log, retrying within {} \
+                 ms; the purge is in force but would be lost at a restart: {e}",
+                purge.object.as_deref().unwrap_or("none"),
+                purge.group,
                 self.limits.purge_log_retry_interval_us / 1_000
             );
             self.schedule_purge_log_retry(now);
         }
-        logged.is_ok()
+        write_result.is_ok()
     }
 
-    /// Writes the purges to the purge log that could not be written before.
+    /// Writes the purges that are missing from the purge log after a failed write.
     pub(super) fn retry_purge_log(&mut self, now: Micros) {
         if let Some(interconnect) = &mut self.interconnect {
             interconnect.purge_log_retry_scheduled = false;
--- a/crates/proxy/src/event_loop/reload.rs
+++ b/crates/proxy/src/event_loop/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration on SIGHUP. Settings that can change at run time take effect at once.
+//! Reload of the configuration on SIGHUP. Keys that can change at run time take effect at once.
 
 use super::timer::TimerEvent;
 use super::EventLoop;
@@ -10,8 +10,8 @@
 pub(super) struct Reload {
     pub(super) config: Config,
     pub(super) source: ConfigSource,
-    /// Timer of the next attempt to read a configuration that could not be read. A further SIGHUP
-    /// replaces it.
+    /// Timer of the next retry after the configuration could not be read. A further SIGHUP replaces
+    /// it.
     retry_timer: Option<TimerKey>,
 }
 
@@ -26,8 +26,9 @@
 }
 
 impl EventLoop {
-    /// Handles SIGHUP by reading the configuration again. Client connections stay open. An invalid
-    /// file changes nothing, because a proxy that stopped on it would disconnect all its clients.
+    /// Handles SIGHUP by reading the configuration again. Client connections stay open. If the file
+    /// is invalid, the proxy continues with the current configuration, because stopping would
+    /// disconnect all its clients.
     pub(super) fn reload(&mut self, now: Micros) {
         self.signals.hangup.drain();
         if let Some(timer) = self.reload.retry_timer.take() {
@@ -83,8 +84,10 @@
         self.apply_configuration(now, new);
     }
 
-    /// Applies the addresses of the event bus and of the peer proxies. All other settings are fixed
-    /// at startup.
+    /// Applies the addresses of the event bus and of the peer proxies. All other keys are used only
+    /// at startup. `peer_listen` is stored with the peers although the socket keeps its address, so
+    /// a change of it is compared with the last reload and not with the socket. If the new
+    /// configuration disables purge gossip, the current gossip configuration is kept.
     fn apply_configuration(&mut self, now: Micros, mut new: Config) {
         if let (Some(gossip), Some(config)) = (&mut self.purge_gossip, &new.purge_gossip) {
             gossip.peers.clone_from(&config.peers);
@@ -94,7 +97,7 @@
         current.event_bus = new.event_bus;
         current.purge_gossip = new.purge_gossip.take().or(current.purge_gossip.take());
         let suffix = if event_bus_address_changed {
-            ", reconnecting to the event bus at its new address"
+            "; event bus address changed, closing connections to the previous address"
         } else {
             ""
         };
--- a/crates/proxy/src/event_loop/timer.rs
+++ b/crates/proxy/src/event_loop/timer.rs
@@ -9,12 +9,13 @@
 /// What the event loop does when a timer is due.
 #[derive(Clone, Debug)]
 pub(super) enum TimerEvent {
-    /// Pass a timer of the request table back to it.
+    /// Pass a timer of the request table, or of the router inside it, back to the request table.
     Request(RequestTimer),
     /// Handle the connect timeout of an outgoing connection, unless it is established.
     ConnectTimeout(SlabKey),
-    /// Check a connection to a cache server for cancelled attempts that can be reported as ended,
-    /// and for answers and writes that have stalled.
+    /// Check a connection to a cache server. This reports the cancelled attempts whose report delay
+    /// is over, closes the connection if an answer or a write has stalled or its server is drained,
+    /// and removes streams whose retention period is over.
     CheckUpstream(SlabKey),
     /// Connect to the event bus, or reconnect if the connection has been silent for too long.
     CheckEventBus,
@@ -34,15 +35,15 @@
         /// Number of further transmissions after this one.
         repeats_left: u8,
     },
-    /// Write the purges to the purge log that could not be written before.
+    /// Retry writing the purge log after a write has failed.
     RetryPurgeLog,
     /// Check whether a client connection is past its inactivity deadline.
     CheckClient(SlabKey),
-    /// Retry the parked attempts, for which no connection could be opened because this machine
-    /// lacked a resource.
+    /// Retry the parked attempts, for which no connection could be opened because the connection
+    /// table was full or this machine lacked a resource.
     RetryParkedAttempts,
-    /// Retry reading a connection and registering its interest with the poller, one of which has
-    /// failed.
+    /// Register the interest of a connection with the poller again and read its input, after the
+    /// registration or a read has failed temporarily.
     RetryConnection(SlabKey),
     /// Resume accepting client connections after a pause.
     RetryAccept,
@@ -53,7 +54,8 @@
     },
     /// End the grace period that began with SIGTERM.
     EndShutdownGrace,
-    /// Answer all open requests, because the process may be killed right after this.
+    /// Fail all requests that have no answer yet, because the process may be killed soon after this
+    /// time.
     ShutdownDeadline,
 }
 
--- a/crates/proxy/src/event_loop/upstreams/mod.rs
+++ b/crates/proxy/src/event_loop/upstreams/mod.rs
@@ -63,8 +63,8 @@
         let mut events = Vec::new();
         let result = upstream.read(now, transport, &self.request_table, &mut events);
         if events.iter().any(UpstreamEvent::allows_further_attempt) {
-            // The connection remembers such an attempt for `stream_retention_us`. The check removes it
-            // after that time.
+            // The connection remembers such an attempt for `stream_retention_us`. The check removes
+            // it after that time.
             self.timers.schedule(
                 now + self.limits.stream_retention_us + 1,
                 TimerEvent::CheckUpstream(key),
--- a/crates/proxy/src/net/connection.rs
+++ b/crates/proxy/src/net/connection.rs
@@ -17,7 +17,7 @@
     pub bytes_written: u64,
     /// Whether the connection is established. False while an outgoing connection is being opened.
     pub is_connected: bool,
-    /// The readiness that the poller reports; None if the socket is not registered.
+    /// The readiness that the poller reports. None if the socket is not registered.
     watched_interest: Option<Interest>,
 }
 
@@ -26,10 +26,12 @@
 pub enum IoProgress {
     /// Some bytes were transferred.
     Advanced,
-    /// The socket is not ready.
+    /// No bytes were transferred. For a read, no data has arrived or the input buffer is full. For
+    /// a write, the socket accepts no bytes, there is no output, the connection is still being
+    /// opened, or the call failed temporarily.
     WouldBlock,
-    /// The call failed temporarily, for example for lack of kernel memory. The socket is sound and
-    /// may be ready.
+    /// A read failed temporarily, for example for lack of kernel memory. The socket is sound and
+    /// data may be waiting.
     Postponed,
     /// The peer has closed its half of the connection.
     PeerClosed,
--- a/crates/proxy/src/net/ring_buffer.rs
+++ b/crates/proxy/src/net/ring_buffer.rs
@@ -18,7 +18,7 @@
     /// The smallest allocation, in bytes, unless the capacity is smaller.
     pub const MIN_ALLOCATION_BYTES: usize = 1 << 10;
 
-    /// Creates a buffer that stores at most `capacity` bytes, and at least one.
+    /// Creates a buffer that stores at most `capacity` bytes. A capacity of 0 counts as 1.
     pub fn new(capacity: usize) -> Self {
         RingBuffer {
             bytes: Vec::new(),
