--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -131,7 +131,7 @@
     pub unawaited_answer_timeout_us: Micros,
     /// A cancelled attempt counts as ended this long after the cancellation was written, because
     /// the cancellation takes time to arrive.
-    pub cancel_settle_delay_us: Micros,
+    pub cancellation_report_delay_us: Micros,
     /// The id of a cancelled or answered attempt is remembered on its connection for this long, to
     /// recognise a late answer.
     pub stream_retention_us: Micros,
@@ -268,7 +268,7 @@
     answer_body_bytes: 512 * KIB,
     partial_answer_timeout_us: 150 * MILLISECOND,
     unawaited_answer_timeout_us: SECOND,
-    cancel_settle_delay_us: 5 * MILLISECOND,
+    cancellation_report_delay_us: 5 * MILLISECOND,
     stream_retention_us: 5 * SECOND,
 
     endpoint_list_bytes: MIB,
--- a/crates/proxy/src/request_table/attempt.rs
+++ b/crates/proxy/src/request_table/attempt.rs
@@ -35,7 +35,7 @@
 pub struct AttemptResult {
     /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How the server obtained the answer.
+    /// Where the answer came from, or why a fill failed.
     pub fill_result: FillResult,
     /// Time to first byte of the fill, in microseconds. 0 means no fill, or an unknown time.
     pub fill_ttfb_us: Micros,
--- a/crates/proxy/src/request_table/command.rs
+++ b/crates/proxy/src/request_table/command.rs
@@ -4,8 +4,8 @@
 use super::request::{Answer, RequestKey, ResponseTarget};
 use edge_routing::{Micros, ServerId};
 
-/// A timer of the request table. The event loop passes it back unchanged when it fires. A timer
-/// can't be stopped, so its request or attempt may have ended by the time it fires.
+/// A timer of the request table. The event loop passes it back unchanged when it fires. No
+/// command cancels a timer, so its request or attempt may have ended by the time it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestTimer {
     /// Fires at the deadline of a request, or at an earlier check of it.
--- a/crates/proxy/src/request_table/log_rate.rs
+++ b/crates/proxy/src/request_table/log_rate.rs
@@ -15,7 +15,7 @@
     suppressed: u32,
 }
 
-/// The number of lines suppressed since the last permitted line. Its `Display` text is a remark to
+/// The number of lines suppressed since the last permitted line. Its `Display` text is a note to
 /// append to a log line, and is empty if no line was suppressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuppressedLines(pub u32);
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -78,7 +78,7 @@
     /// How long before the client stops waiting the final answer is due.
     answer_lead_us: Micros,
     /// The longest delay for which a deadline timer is set.
-    sweep_interval_us: Micros,
+    check_interval_us: Micros,
 }
 
 impl RequestTable {
@@ -92,7 +92,7 @@
             requests: PendingRequests::new(limits.open_requests, limits.total_body_bytes),
             deadline_timing: DeadlineTiming {
                 answer_lead_us: limits.answer_lead_us,
-                sweep_interval_us: limits.deadline_check_interval_us,
+                check_interval_us: limits.deadline_check_interval_us,
             },
             servers: ServerDirectory::default(),
             permanent_purges: PermanentPurges::new(limits.permanent_purges),
@@ -170,9 +170,9 @@
         self.handle_event(now, Event::EndpointList { mode, endpoints });
     }
 
-    /// Applies a purge that the event bus announced at `event_time_us` of its own time scale. The
-    /// purge applies to one object, or to a whole purge group if `object` is `None`. The cache
-    /// servers receive the purge independently of this proxy.
+    /// Applies a purge that the event bus announced. The purge took place at `event_time_us`, in
+    /// Unix microseconds of the fleet. It applies to one object, or to a whole purge group if
+    /// `object` is `None`. The cache servers receive the purge independently of this proxy.
     pub fn handle_purge_event(
         &mut self,
         now: Micros,
@@ -223,8 +223,7 @@
         self.permanent_purges.remaining_capacity()
     }
 
-    /// Converts the start times of listed servers from the event bus's time scale to the loop's
-    /// clock.
+    /// Converts the start times of listed servers from the fleet's time scale to the loop's clock.
     fn convert_start_times(&mut self, now: Micros, entries: &mut [ListedServer]) {
         let mut shift_us = 0;
         for started in entries.iter().filter_map(|entry| entry.endpoint.started_at) {
--- a/crates/proxy/src/request_table/request.rs
+++ b/crates/proxy/src/request_table/request.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// The content that a cache server served for a request.
+/// The content that a cache server, a parent or the origin served for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// The bytes of the part, and the tag of the copy.
@@ -80,7 +80,7 @@
 /// The final answer to a request. The frontends translate it to their protocols.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A cache server served the request.
+    /// A cache server, a parent or the origin served the request.
     Served(Content),
     /// The request was rejected before anything ran, so a retry by the client does no harm.
     Rejected {
--- a/crates/proxy/src/request_table/settlement.rs
+++ b/crates/proxy/src/request_table/settlement.rs
@@ -26,7 +26,7 @@
             return;
         };
         log::debug!(
-            "request {}: final result: {}",
+            "request {}: final answer: {}",
             pending.request.id,
             RequestEnding::from(&answer)
         );
@@ -34,7 +34,8 @@
         self.commands.push(Command::Respond(target, answer));
     }
 
-    /// Frees the slot of a request that is settled and has no attempt in flight.
+    /// Frees the slot of a request if it is settled and has no attempt in flight, and logs its
+    /// trace.
     pub(super) fn release_if_complete(&mut self, now: Micros, request_key: RequestKey) {
         if let Some(pending) = self.requests.remove_if_complete(request_key) {
             self.trace_log.write(now, &pending, &self.servers);
@@ -57,9 +58,10 @@
         }
     }
 
-    /// Removes an attempt that the router left in flight when its client disconnected, if no byte
-    /// of the attempt is written yet. An attempt that is being sent may continue where the settings
-    /// don't allow cancellation, but an unsent one must never be sent.
+    /// Requests the removal of an attempt that the router left in flight when its client
+    /// disconnected. The upstream connection removes the attempt only if no byte of it is written
+    /// yet. An attempt that is being sent may continue where the settings don't allow cancellation,
+    /// but an unsent one must never be sent.
     pub(super) fn dequeue_unsent_attempt(&mut self, request_key: RequestKey) {
         let Some(pending) = self.requests.get(request_key) else {
             return;
@@ -79,23 +81,25 @@
     }
 
     /// Sets a timer for the request's deadline, or for an earlier check if the deadline is far
-    /// away. Timers can't be stopped, so with long deadlines the timers of a flood of short
-    /// requests would accumulate.
+    /// away. No command cancels the timer of a request that ends early. With long deadlines, the
+    /// timers of a flood of short requests would accumulate. The earlier check bounds how long the
+    /// timer of an ended request remains.
     pub(super) fn set_deadline_timer(&mut self, now: Micros, request_key: RequestKey) {
         if let Some(pending) = self.requests.get(request_key) {
             let at = pending
                 .deadline
-                .min(now + self.deadline_timing.sweep_interval_us);
+                .min(now + self.deadline_timing.check_interval_us);
             self.commands
                 .push(Command::SetTimer(at, RequestTimer::Deadline(request_key)));
         }
     }
 
-    /// Ends a request whose deadline has passed, and sets the next timer for any other request. An
-    /// attempt in flight ends with a time-out, and the router then decides on the final answer; it
-    /// can't decide on a retry any more. The same applies to an attempt that continues after its
-    /// client disconnected because the settings don't allow cancellation: its answer may never
-    /// come.
+    /// Checks whether the deadline of a request has passed. If it has not, sets the next timer.
+    /// Otherwise ends the request. Its attempt in flight is cancelled and counts as timed out at
+    /// once, without waiting for the upstream connection to confirm the cancellation. The router
+    /// then gives the final answer, because no time is left for a retry. An attempt may still be in
+    /// flight although its client has disconnected, where the settings don't allow cancellation. It
+    /// is ended here as well, because its answer may never arrive.
     pub(super) fn check_deadline(&mut self, now: Micros, request_key: RequestKey) {
         let Some(pending) = self.requests.get(request_key) else {
             return;
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Fails a request that still needs its answer, and removes the request from the router.
+    /// Fails a request that still needs its answer, and reports to the router that the request
+    /// needs no further attempt.
     pub(super) fn fail_if_unsettled(&mut self, now: Micros, request_key: RequestKey) {
         if !self.requests.is_unsettled(request_key) {
             return;
--- a/crates/proxy/src/request_table/tests.rs
+++ b/crates/proxy/src/request_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of single parts of the request table: server numbers, traces, the log rate limit, and
+//! Tests of single parts of the request table: server ids, traces, the log rate limit, and
 //! permanent purges.
 
 use super::purges::{PermanentPurges, PurgeTarget};
@@ -42,30 +42,30 @@
 }
 
 #[test]
-fn a_rejected_request_is_not_promptly_served() {
-    assert!(!rejected_after_a_retry().is_promptly_served(2_000_000));
+fn a_rejected_request_is_not_served_early() {
+    assert!(!rejected_after_a_retry().is_served_early_by_first_attempt(2_000_000));
     let mut without_retry = RequestTrace::new(0);
     without_retry.attempt_ended(rejected_attempt());
     without_retry.end(50, RequestEnding::Rejected);
-    assert!(!without_retry.is_promptly_served(100));
+    assert!(!without_retry.is_served_early_by_first_attempt(100));
 }
 
 #[test]
-fn a_request_served_by_a_retry_is_not_promptly_served() {
+fn a_request_served_by_a_retry_is_not_served_by_its_first_attempt() {
     let mut trace = RequestTrace::new(0);
     trace.attempt_ended(rejected_attempt());
     trace.attempt_ended(rejected_attempt());
     trace.end(50, RequestEnding::Served);
-    assert!(!trace.is_promptly_served(100));
+    assert!(!trace.is_served_early_by_first_attempt(100));
 }
 
 #[test]
-fn a_request_served_by_its_first_attempt_is_promptly_served_in_the_first_half_of_its_time() {
+fn a_request_served_by_its_first_attempt_is_served_early_up_to_half_of_its_time() {
     let mut trace = RequestTrace::new(0);
     trace.attempt_ended(rejected_attempt());
     trace.end(50, RequestEnding::Served);
-    assert!(trace.is_promptly_served(100));
-    assert!(!trace.is_promptly_served(99));
+    assert!(trace.is_served_early_by_first_attempt(100));
+    assert!(!trace.is_served_early_by_first_attempt(99));
 }
 
 #[test]
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_remark_on_suppressed_lines_is_empty_if_none_is_suppressed() {
+fn the_note_on_suppressed_lines_is_empty_if_none_is_suppressed() {
     assert_eq!(SuppressedLines(0).to_string(), "");
     assert_eq!(SuppressedLines(2).to_string(), " (2 lines suppressed)");
 }
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_number_of_a_server_is_the_published_fnv_1a_hash_of_its_id() {
+fn the_id_of_a_server_is_the_published_fnv_1a_hash_of_its_wire_id() {
     assert_eq!(server_id(""), 0xcbf2_9ce4_8422_2325);
     assert_eq!(server_id("a"), 0xaf63_dc4c_8601_ec8c);
     assert_eq!(server_id("foobar"), 0x8594_4171_f739_67e8);
--- a/crates/proxy/src/request_table/trace.rs
+++ b/crates/proxy/src/request_table/trace.rs
@@ -9,10 +9,10 @@
 /// The trace of an attempt that has ended. Times are in microseconds of the loop's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTrace {
-    /// The cache server that the attempt was sent to.
+    /// The server that the attempt was sent to: a cache server, a parent or the origin.
     pub server: ServerId,
-    /// The fill source. If it is `server` itself, there was no fill. `None` means that the server
-    /// could serve only what it had cached.
+    /// The server that a miss is filled from. If it is `server` itself or `None`, the attempt names
+    /// no fill source and a miss is not filled.
     pub source: Option<ServerId>,
     /// When the attempt was started.
     pub started_at: Micros,
@@ -20,16 +20,17 @@
     pub ended_at: Micros,
     /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How the server obtained the answer.
+    /// Where the answer came from, or why a fill failed.
     pub fill_result: FillResult,
-    /// Time to first byte of the fill, in microseconds. 0 means no fill, or an unknown time.
+    /// Time to first byte of the fill, in microseconds. 0 if there was no fill or the time is
+    /// unknown.
     pub fill_ttfb_us: Micros,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// A cache server served the request.
+    /// A cache server, a parent or the origin served the request.
     Served,
     /// The request was rejected.
     Rejected,
@@ -96,18 +97,18 @@
     }
 
     /// Returns whether the request was served by its first attempt within the first half of the
-    /// time until its deadline. Such a request is not worth a log line.
-    pub fn is_promptly_served(&self, deadline: Micros) -> bool {
-        let half_time = self.admitted_at + deadline.saturating_sub(self.admitted_at) / 2;
-        let served_in_half_time = self
+    /// time until its deadline. The trace of such a request is not logged.
+    pub fn is_served_early_by_first_attempt(&self, deadline: Micros) -> bool {
+        let midpoint = self.admitted_at + deadline.saturating_sub(self.admitted_at) / 2;
+        let is_served_by_midpoint = self
             .end
-            .is_some_and(|end| end.ending == RequestEnding::Served && end.at <= half_time);
-        self.attempts.len() == 1 && served_in_half_time
+            .is_some_and(|end| end.ending == RequestEnding::Served && end.at <= midpoint);
+        self.attempts.len() == 1 && is_served_by_midpoint
     }
 
     /// Returns the whole trace as one line, with times in milliseconds since the admission.
     /// `wire_id_of` returns the wire id of a server that is still listed; any other server is shown
-    /// by its number.
+    /// by its id in hexadecimal.
     pub fn to_log_line<'a>(&self, wire_id_of: impl Fn(ServerId) -> Option<&'a str>) -> String {
         let mut line = String::new();
         if let Some(end) = self.end {
@@ -157,8 +158,8 @@
     duration_us as f64 / 1e3
 }
 
-/// Logs the traces of requests that were not promptly served, so that the operators on call can
-/// follow a request by its id.
+/// Logs the traces of requests, so that the operators on call can follow a request by its id.
+/// Requests that were served early by their first attempt are left out.
 pub(super) struct TraceLog {
     limiter: LogRateLimiter,
 }
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Logs the trace of a complete request, unless the request was promptly served or the limit on
-    /// lines in this second is reached.
+    /// Logs the trace of a request that is settled and has no attempt in flight, unless the request
+    /// was served early by its first attempt or the limit on lines in this second is reached.
     pub(super) fn write(
         &mut self,
         now: Micros,
@@ -180,7 +181,9 @@
     ) {
         // The checks come first so that only lines that would have been written count as
         // suppressed.
-        if pending.trace.is_promptly_served(pending.deadline)
+        if pending
+            .trace
+            .is_served_early_by_first_attempt(pending.deadline)
             || !log::log_enabled!(log::Level::Info)
         {
             return;
@@ -192,7 +195,7 @@
         let budget_ms = request.remaining_us / 1000;
         let line = pending.trace.to_log_line(|id| servers.wire_id_of(id));
         log::info!(
-            "request {} for object {}, part {} ({} KB), due within {budget_ms} ms: \
+            "request {} for object {}, part {} ({} KB), deadline {budget_ms} ms after admission: \
              {line}{suppressed}",
             request.id,
             request.object,
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -155,8 +155,8 @@
             wire::MISS => Outcome::Miss,
             wire::OVERLOADED => Outcome::Rejected,
             wire::DEADLINE_PASSED => Outcome::NotSent,
-            // The same applies to a status that the protocol does not define: the request may have
-            // run.
+            // Any other status, including one that the protocol does not define: the request may
+            // have run.
             _ => Outcome::Error,
         }
     }
--- a/crates/proxy/src/upstream/cancel.rs
+++ b/crates/proxy/src/upstream/cancel.rs
@@ -1,4 +1,5 @@
-//! Cancels single attempts, and withdraws all attempts that involve a server.
+//! Cancels single attempts, and removes the unsent attempts whose server or fill source is draining
+//! or gone.
 
 use super::command;
 use super::stream::Stream;
@@ -8,8 +9,8 @@
 use crate::request_table::{AttemptId, RequestTable};
 use edge_routing::{Micros, Outcome, ServerId};
 
-/// An attempt in the output buffer of which no byte is written. This occurs when the server accepts
-/// no bytes at the moment.
+/// An attempt whose whole command is still in the output buffer, because the socket accepts no
+/// bytes.
 struct UnwrittenAttempt {
     attempt: AttemptId,
     /// Whether the output buffer contains nothing else.
@@ -18,7 +19,8 @@
 
 impl UpstreamConnection {
     /// Removes an attempt from the queue or the output buffer and reports it as cancelled. Returns
-    /// `false` if some of the attempt is written, or if it can't be removed from the output buffer.
+    /// `false` if some of the attempt is written, if the output buffer contains anything besides
+    /// the attempt, or if the attempt is not on this connection.
     pub fn dequeue(
         &mut self,
         attempt: AttemptId,
@@ -37,11 +39,11 @@
         true
     }
 
-    /// Cancels an attempt. An attempt of which nothing is written is removed and reported at once.
-    /// For any other, the server is sent an `abort`, and the attempt is reported once the `abort`
-    /// has had time to arrive. Returns `false` if the output buffer has no space for the `abort`,
-    /// in which case the connection must be closed. An attempt that is not on the connection is
-    /// ignored.
+    /// Cancels an attempt. An attempt that can be dequeued (see [`dequeue`](Self::dequeue)) is
+    /// removed and reported at once. For any other attempt on this connection, an `abort` is sent
+    /// to the server, and the attempt is reported once the `abort` has had time to arrive. Returns
+    /// `false` if the output buffer has no space for the `abort`, in which case the connection must
+    /// be closed. An attempt that is not on this connection is ignored.
     pub fn cancel(
         &mut self,
         now: Micros,
@@ -70,20 +72,22 @@
         true
     }
 
-    /// Returns when `flush` must be called to report the next cancellation. Cancellations whose
-    /// `abort` is not written yet are not considered. Returns `None` if there are no others.
+    /// Returns when `flush` must be called to report the next cancellation. Considers only
+    /// unreported cancellations whose `abort` is written. Returns `None` if there is no such
+    /// cancellation.
     pub fn next_cancellation_report_at(&self, limits: &Limits) -> Option<Micros> {
         let earliest = self
             .streams
             .values()
             .filter_map(Stream::abort_written_at)
             .min();
-        earliest.map(|abort_written_at| abort_written_at + limits.cancel_settle_delay_us)
+        earliest.map(|abort_written_at| abort_written_at + limits.cancellation_report_delay_us)
     }
 
     /// Removes the attempts of which no byte is written and which would be sent to `server` or
-    /// filled from it, and reports them as not sent. Returns `false` if the connection must be
-    /// closed because that is the only way to keep one of these attempts from being written.
+    /// filled from it, and reports them as not sent. Returns `false` if such an attempt can't be
+    /// removed because the output buffer contains more than its command. The connection must then
+    /// be closed, so that the attempt is not written.
     pub fn drain_server(
         &mut self,
         server: ServerId,
@@ -92,23 +96,23 @@
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
         let destination = self.server;
-        let involves_server = |attempt: AttemptId| {
+        let uses_server = |attempt: AttemptId| {
             let fill = request_table
                 .attempt_spec(attempt)
                 .and_then(|(_, spec)| spec.fill);
             destination == server || fill.is_some_and(|fill| fill.source == server)
         };
         self.queue.retain(|attempt| {
-            let withdrawn = involves_server(*attempt);
-            if withdrawn {
+            let is_removed = uses_server(*attempt);
+            if is_removed {
                 events.push(UpstreamEvent::attempt_ended(*attempt, Outcome::NotSent));
             }
-            !withdrawn
+            !is_removed
         });
         let Some(unwritten) = self.unwritten_attempt(socket) else {
             return true;
         };
-        if !involves_server(unwritten.attempt) {
+        if !uses_server(unwritten.attempt) {
             return true;
         }
         if unwritten.is_only_output {
@@ -146,7 +150,8 @@
         })
     }
 
-    /// Clears the output buffer, which contains only this attempt, and closes the attempt's stream.
+    /// Clears the output buffer, which contains only this attempt, and removes the attempt's stream
+    /// without a report.
     fn remove_unwritten(&mut self, attempt: AttemptId, socket: &mut BufferedSocket) {
         socket.output.clear();
         self.streams.retain(|_, stream| !stream.is_attempt(attempt));
--- a/crates/proxy/src/upstream/command.rs
+++ b/crates/proxy/src/upstream/command.rs
@@ -29,8 +29,8 @@
     pub(super) const BACKGROUND_REFRESH: &str = "background";
 }
 
-/// Initial capacity for the fields of a command. It is their usual length, so that one allocation is
-/// usually enough.
+/// Initial capacity for the fields of a command. It is their usual length, so that one allocation
+/// is usually enough.
 const INITIAL_FIELDS_CAPACITY_BYTES: usize = 128;
 /// Space reserved in a command for the encoding overhead of each string, so that one allocation is
 /// enough.
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -123,14 +123,15 @@
         &mut self,
         now: Micros,
         bytes_written: u64,
-        report_delay_us: Micros,
+        cancellation_report_delay_us: Micros,
     ) -> Option<AttemptId> {
         let Stream::Cancelled { unreported, .. } = self else {
             return None;
         };
         let cancellation = unreported.as_mut()?;
         cancellation.record_output_progress(now, bytes_written);
-        let due = unreported.take_if(|cancellation| cancellation.is_due(now, report_delay_us))?;
+        let due = unreported
+            .take_if(|cancellation| cancellation.is_due(now, cancellation_report_delay_us))?;
         Some(due.attempt)
     }
 
@@ -186,10 +187,10 @@
         }
     }
 
-    /// Returns whether the `abort` was written at least `report_delay_us` ago, so that it has had
+    /// Returns whether the `abort` was written at least `cancellation_report_delay_us` ago, so that it has had
     /// time to arrive.
-    fn is_due(&self, now: Micros, report_delay_us: Micros) -> bool {
+    fn is_due(&self, now: Micros, cancellation_report_delay_us: Micros) -> bool {
         self.abort_written_at
-            .is_some_and(|abort_written_at| abort_written_at + report_delay_us <= now)
+            .is_some_and(|abort_written_at| abort_written_at + cancellation_report_delay_us <= now)
     }
 }
