--- a/crates/proxy/src/discovery/consul.rs
+++ b/crates/proxy/src/discovery/consul.rs
@@ -148,7 +148,7 @@
         let Message { head, body } = message;
         if head.status() != Some(200) {
             return Err(ConsulError::Status {
-                status_line: head.start.clone(),
+                status_line: head.start_line.clone(),
             });
         }
         let value: Value = serde_json::from_slice(body)?;
--- a/crates/proxy/src/frontend/fastcgi/outgoing.rs
+++ b/crates/proxy/src/frontend/fastcgi/outgoing.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 /// Room for the record that ends the STDOUT stream and the one that ends the request.
-const END_BYTES: usize = HEADER_BYTES + wire::END_RECORD_BYTES;
+const END_BYTES: usize = HEADER_BYTES + wire::END_REQUEST_RECORD_BYTES;
 /// No STDOUT record has less content than this unless it is the last: a client that reads slowly
 /// must not be sent its answer in fragments of a few bytes each.
 const MINIMUM_CONTENT_BYTES: usize = 1024;
@@ -82,7 +82,7 @@
     /// Adds the answer to a management record.
     pub(super) fn push_management(&mut self, record_type: u8, content: &[u8]) {
         let mut record = Vec::new();
-        wire::write_record(&mut record, record_type, wire::MANAGEMENT_ID, content);
+        wire::write_record(&mut record, record_type, wire::NULL_REQUEST_ID, content);
         self.unsent_bytes += record.len();
         self.queue.push_back(Outgoing::Management(record));
     }
@@ -164,7 +164,7 @@
     if !answer.response.is_empty() {
         wire::write_record(&mut records, record_type::STDOUT, answer.request_id, &[]);
     }
-    wire::write_end(&mut records, answer.request_id, answer.protocol_status);
+    wire::write_end_request(&mut records, answer.request_id, answer.protocol_status);
     output.push(&records);
     Progress::Complete(0)
 }
--- a/crates/proxy/src/frontend/fastcgi/session.rs
+++ b/crates/proxy/src/frontend/fastcgi/session.rs
@@ -204,13 +204,13 @@
                 "the queue of answers that a client does not read",
             ));
         }
-        if record.id == wire::MANAGEMENT_ID {
+        if record.request_id == wire::NULL_REQUEST_ID {
             self.answer_management(&record)?;
             return Ok(None);
         }
         match record.record_type {
             record_type::BEGIN_REQUEST => self.begin_request(&record, limits)?,
-            record_type::ABORT_REQUEST => return Ok(self.abort_request(record.id)),
+            record_type::ABORT_REQUEST => return Ok(self.abort_request(record.request_id)),
             record_type::PARAMS => self.receive_parameters(&record, limits)?,
             record_type::STDIN => return self.receive_body(&record, limits),
             // Streams that are not used here.
@@ -239,21 +239,22 @@
     }
 
     fn begin_request(&mut self, record: &Record, limits: &Limits) -> Result<(), ProtocolError> {
-        if self.streams.contains_key(&record.id) {
+        if self.streams.contains_key(&record.request_id) {
             return Err(ProtocolError::Malformed("a request id that is in use"));
         }
-        let begin = wire::read_begin(&record.content)?;
+        let begin = wire::read_begin_request(&record.content)?;
         let keep_connection = begin.flags & wire::KEEP_CONN != 0;
         if begin.role != wire::RESPONDER {
-            self.end_without_response(record.id, wire::UNKNOWN_ROLE, keep_connection);
+            self.end_without_response(record.request_id, wire::UNKNOWN_ROLE, keep_connection);
         } else if self.streams.len() >= limits.requests_per_client {
-            self.end_without_response(record.id, wire::OVERLOADED, keep_connection);
+            self.end_without_response(record.request_id, wire::OVERLOADED, keep_connection);
         } else {
             let request = PartialRequest {
                 keep_connection,
                 ..PartialRequest::default()
             };
-            self.streams.insert(record.id, Stream::Receiving(request));
+            self.streams
+                .insert(record.request_id, Stream::Receiving(request));
         }
         Ok(())
     }
@@ -265,7 +266,7 @@
     ) -> Result<(), ProtocolError> {
         // Records of requests that are over are skipped: they may have been sent before the answer
         // arrived.
-        let Some(Stream::Receiving(request)) = self.streams.get_mut(&record.id) else {
+        let Some(Stream::Receiving(request)) = self.streams.get_mut(&record.request_id) else {
             return Ok(());
         };
         if request.parameters.len() + record.content.len() > limits.params_bytes {
@@ -281,7 +282,7 @@
         record: &Record,
         limits: &Limits,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
-        let Some(Stream::Receiving(request)) = self.streams.get_mut(&record.id) else {
+        let Some(Stream::Receiving(request)) = self.streams.get_mut(&record.request_id) else {
             return Ok(None);
         };
         if !request.parameters_complete {
@@ -295,7 +296,7 @@
             return Ok(None);
         }
         let request = std::mem::take(request);
-        self.handle_request(record.id, request, limits)
+        self.handle_request(record.request_id, request, limits)
     }
 
     /// Handles a request that was received whole.
--- a/crates/proxy/src/frontend/interconnect/frontend.rs
+++ b/crates/proxy/src/frontend/interconnect/frontend.rs
@@ -78,7 +78,7 @@
         message: &Message,
     ) -> HandledRequest {
         let Message { head, body } = message;
-        let Some((method, target)) = head.request() else {
+        let Some((method, target)) = head.method_and_target() else {
             return respond(Response::bare(400));
         };
         let path = url_path(target).split('?').next().unwrap_or("");
--- a/crates/proxy/src/frontend/interconnect/session.rs
+++ b/crates/proxy/src/frontend/interconnect/session.rs
@@ -156,7 +156,7 @@
     fn finish_request(&mut self, head: Head) -> Message {
         self.has_received_request = true;
         self.has_partial_input = false;
-        self.keep_open = head.keeps_open();
+        self.keep_open = head.keeps_connection_open();
         Message {
             head,
             body: std::mem::take(&mut self.body),
--- a/crates/proxy/src/protocol/fastcgi.rs
+++ b/crates/proxy/src/protocol/fastcgi.rs
@@ -1,18 +1,18 @@
-//! FastCGI 1.0, the side of an application in the Responder role.
+//! FastCGI 1.0, as an application in the Responder role uses it.
 //!
-//! Sections are those of the FastCGI specification 1.0. A connection carries records in both
-//! directions; the records of one request share a request id, and those of id 0 concern the
-//! connection.
+//! Section numbers refer to the FastCGI specification 1.0. A connection carries records in both
+//! directions. All records of a request carry its request id. Records with request id 0 are
+//! management records, which concern the connection as a whole.
 
 use super::{Parser, ProtocolError};
 
 /// Record types (section 8, `FCGI_BEGIN_REQUEST` and following).
 pub mod record_type {
-    /// Begins a request: its role and flags.
+    /// Begins a request and carries its role and flags.
     pub const BEGIN_REQUEST: u8 = 1;
     /// The web server no longer waits for a request.
     pub const ABORT_REQUEST: u8 = 2;
-    /// Ends a request: its protocol status.
+    /// Ends a request and carries its protocol status.
     pub const END_REQUEST: u8 = 3;
     /// The stream of a request's CGI parameters.
     pub const PARAMS: u8 = 4;
@@ -20,9 +20,9 @@
     pub const STDIN: u8 = 5;
     /// The stream of a request's CGI response.
     pub const STDOUT: u8 = 6;
-    /// A second stream of input, for the Filter role alone.
+    /// A second input stream, which only the Filter role uses.
     pub const DATA: u8 = 8;
-    /// Asks for variables of the application.
+    /// Asks for the values of variables of the application.
     pub const GET_VALUES: u8 = 9;
     /// Answers [`GET_VALUES`].
     pub const GET_VALUES_RESULT: u8 = 10;
@@ -30,76 +30,83 @@
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
-/// The request id of management records, which concern the connection (section 3.3,
+/// Request id of management records, which concern the connection as a whole (section 3.3,
 /// `FCGI_NULL_REQUEST_ID`).
-pub const MANAGEMENT_ID: u16 = 0;
+pub const NULL_REQUEST_ID: u16 = 0;
 
-/// The protocol status of a request that is complete (section 5.5).
+/// Protocol status of a request that is complete (section 5.5).
 pub const REQUEST_COMPLETE: u8 = 0;
-/// The protocol status of a request that is rejected for lack of capacity (section 5.5).
+/// Protocol status of a request that is rejected for lack of capacity (section 5.5).
 pub const OVERLOADED: u8 = 2;
-/// The protocol status of a request in a role that the application does not know (section 5.5).
+/// Protocol status of a request with a role that the application does not support (section 5.5).
 pub const UNKNOWN_ROLE: u8 = 3;
 
-/// The role that answers requests (section 6.2).
+/// Role of an application that receives a request and returns a response (section 6.2).
 pub const RESPONDER: u16 = 1;
-/// The flag that leaves the connection open after the answer (section 5.1).
+/// Flag by which the web server asks the application to keep the connection open after the
+/// response (section 5.1).
 pub const KEEP_CONN: u8 = 1;
 
-/// The longest content of a record, in bytes (section 3.3).
+/// Maximum length of the content of a record (section 3.3).
 pub const MAX_CONTENT_BYTES: usize = 65_535;
-/// Bytes of a record's header (section 3.3).
+/// Length of the header of a record (section 3.3).
 pub const HEADER_BYTES: usize = 8;
-/// Bytes of the record that ends a request, its header with them (section 5.5).
-pub const END_RECORD_BYTES: usize = HEADER_BYTES + 8;
+/// Length of an END_REQUEST record, including its header (section 5.5).
+pub const END_REQUEST_RECORD_BYTES: usize = HEADER_BYTES + 8;
 
+/// Protocol version in the header of every record.
 const VERSION: u8 = 1;
 
 const MALFORMED_PARAMETER: ProtocolError =
-    ProtocolError::Malformed("a FastCGI parameter (expected two lengths, then UTF-8 text)");
+    ProtocolError::Malformed("a FastCGI name-value pair (expected two lengths, then UTF-8 text)");
 
-/// One record.
+/// A FastCGI record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its type, one of [`record_type`] or unknown.
+    /// Record type, which is a constant of [`record_type`] or an unknown value.
     pub record_type: u8,
-    /// The request it belongs to, or [`MANAGEMENT_ID`].
-    pub id: u16,
-    /// Its content without the padding.
+    /// Id of the request that the record belongs to, or [`NULL_REQUEST_ID`].
+    pub request_id: u16,
+    /// Content without the padding.
     pub content: Vec<u8>,
 }
 
-/// What a record's header tells.
+/// The header of a record.
 #[derive(Clone, Copy)]
 struct Header {
     record_type: u8,
-    id: u16,
+    request_id: u16,
     content_bytes: usize,
     padding_bytes: usize,
 }
 
-/// What is being received. A record is header, content and padding, in this order.
+/// The part of a record that is expected next. A record consists of a header, content and padding,
+/// in this order.
 #[derive(Default)]
 enum State {
     /// The header.
     #[default]
     Header,
-    /// The content, of which these bytes have come.
+    /// The content, with the bytes of it that have been received.
     Content(Header, Vec<u8>),
-    /// The padding, by the bytes that are still to come.
-    Padding { record: Record, remaining: usize },
+    /// The padding, with the number of bytes that are still to be received.
+    Padding {
+        record: Record,
+        remaining_bytes: usize,
+    },
 }
 
-/// Reads records. A record's length is bounded by its form, so it needs no limit of its own.
+/// Incremental parser for records. It needs no limit, because the format bounds the length of a
+/// record.
 #[derive(Default)]
 pub struct RecordParser {
     state: State,
-    /// Bytes of the header that is being received.
+    /// Received bytes of the header that is not complete yet.
     header: Vec<u8>,
 }
 
 impl RecordParser {
-    /// Whether a record is partially received.
+    /// Returns whether a record is partially received.
     pub fn has_partial_input(&self) -> bool {
         !matches!(self.state, State::Header) || !self.header.is_empty()
     }
@@ -113,9 +120,9 @@
         loop {
             match &mut self.state {
                 State::Header => {
-                    let missing = HEADER_BYTES - self.header.len();
+                    let missing_bytes = HEADER_BYTES - self.header.len();
                     self.header
-                        .extend_from_slice(take_up_to(&mut rest, missing));
+                        .extend_from_slice(take_up_to(&mut rest, missing_bytes));
                     let Some(header) = read_header(&self.header)? else {
                         return Ok((input.len(), None));
                     };
@@ -123,23 +130,26 @@
                     self.state = State::Content(header, Vec::new());
                 }
                 State::Content(header, content) => {
-                    let missing = header.content_bytes - content.len();
-                    content.extend_from_slice(take_up_to(&mut rest, missing));
+                    let missing_bytes = header.content_bytes - content.len();
+                    content.extend_from_slice(take_up_to(&mut rest, missing_bytes));
                     if content.len() < header.content_bytes {
                         return Ok((input.len(), None));
                     }
                     self.state = State::Padding {
-                        remaining: header.padding_bytes,
+                        remaining_bytes: header.padding_bytes,
                         record: Record {
                             record_type: header.record_type,
-                            id: header.id,
+                            request_id: header.request_id,
                             content: std::mem::take(content),
                         },
                     };
                 }
-                State::Padding { record, remaining } => {
-                    *remaining -= take_up_to(&mut rest, *remaining).len();
-                    if *remaining > 0 {
+                State::Padding {
+                    record,
+                    remaining_bytes,
+                } => {
+                    *remaining_bytes -= take_up_to(&mut rest, *remaining_bytes).len();
+                    if *remaining_bytes > 0 {
                         return Ok((input.len(), None));
                     }
                     let content = std::mem::take(&mut record.content);
@@ -152,14 +162,15 @@
     }
 }
 
-/// Takes `count` bytes from the front of `rest`, or all if it has fewer.
+/// Removes up to `count` bytes from the front of `rest` and returns them.
 fn take_up_to<'a>(rest: &mut &'a [u8], count: usize) -> &'a [u8] {
     let (taken, left) = rest.split_at(count.min(rest.len()));
     *rest = left;
     taken
 }
 
-/// A record's header, if it is whole. The version is checked as soon as it has come.
+/// Parses the header of a record. Returns `None` if it is not complete yet. The version is checked
+/// as soon as its byte has been received.
 fn read_header(received: &[u8]) -> Result<Option<Header>, ProtocolError> {
     if received.first().is_some_and(|version| *version != VERSION) {
         return Err(ProtocolError::Malformed(
@@ -170,7 +181,7 @@
         [_, record_type, id_high, id_low, length_high, length_low, padding, _reserved] => {
             Some(Header {
                 record_type: *record_type,
-                id: u16::from_be_bytes([*id_high, *id_low]),
+                request_id: u16::from_be_bytes([*id_high, *id_low]),
                 content_bytes: usize::from(u16::from_be_bytes([*length_high, *length_low])),
                 padding_bytes: usize::from(*padding),
             })
@@ -179,11 +190,11 @@
     })
 }
 
-/// Writes a record without padding. Longer content than [`MAX_CONTENT_BYTES`] is cut, which callers
-/// prevent.
-pub fn write_record(out: &mut Vec<u8>, record_type: u8, id: u16, content: &[u8]) {
+/// Appends a record without padding to `out`. Content longer than [`MAX_CONTENT_BYTES`] is
+/// truncated, so callers have to split it.
+pub fn write_record(out: &mut Vec<u8>, record_type: u8, request_id: u16, content: &[u8]) {
     let length = content.len().min(MAX_CONTENT_BYTES);
-    let [id_high, id_low] = id.to_be_bytes();
+    let [id_high, id_low] = request_id.to_be_bytes();
     let [length_high, length_low] = (length as u16).to_be_bytes();
     out.extend([
         VERSION,
@@ -198,13 +209,13 @@
     out.extend_from_slice(&content[..length]);
 }
 
-/// Writes the record that ends a request with a protocol status, and with 0 as the status of the
-/// application.
-pub fn write_end(out: &mut Vec<u8>, id: u16, status: u8) {
+/// Appends an END_REQUEST record with a protocol status to `out`. The application status is always
+/// 0.
+pub fn write_end_request(out: &mut Vec<u8>, request_id: u16, status: u8) {
     write_record(
         out,
         record_type::END_REQUEST,
-        id,
+        request_id,
         &[0, 0, 0, 0, status, 0, 0, 0],
     );
 }
@@ -212,14 +223,18 @@
 /// The content of a BEGIN_REQUEST record (section 5.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BeginRequest {
-    /// The role that the application is asked to play, as [`RESPONDER`].
+    /// Role that the web server asks of the application, such as [`RESPONDER`].
     pub role: u16,
-    /// Flags, as [`KEEP_CONN`].
+    /// Bit set of flags, such as [`KEEP_CONN`].
     pub flags: u8,
 }
 
-/// Reads the content of a BEGIN_REQUEST record.
-pub fn read_begin(content: &[u8]) -> Result<BeginRequest, ProtocolError> {
+/// Parses the content of a BEGIN_REQUEST record.
+///
+/// # Errors
+///
+/// Returns an error if the content is not 8 bytes long.
+pub fn read_begin_request(content: &[u8]) -> Result<BeginRequest, ProtocolError> {
     match content {
         [role_high, role_low, flags, _, _, _, _, _] => Ok(BeginRequest {
             role: u16::from_be_bytes([*role_high, *role_low]),
@@ -231,7 +246,11 @@
     }
 }
 
-/// Names and values of a whole parameter stream (section 3.4).
+/// Parses a complete parameter stream into pairs of a name and a value (section 3.4).
+///
+/// # Errors
+///
+/// Returns an error if a pair is incomplete or is not UTF-8.
 pub fn read_pairs(mut bytes: &[u8]) -> Result<Vec<(String, String)>, ProtocolError> {
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
@@ -244,7 +263,8 @@
     Ok(pairs)
 }
 
-/// Reads a length: one byte below 128, or four bytes of which the first has its highest bit set.
+/// Removes a length from the front of `bytes` and returns it. A length is one byte below 128, or
+/// four bytes of which the first has its highest bit set.
 fn read_length(bytes: &mut &[u8]) -> Result<usize, ProtocolError> {
     let (length, size) = match **bytes {
         [short, ..] if short < 0x80 => (usize::from(short), 1),
@@ -264,7 +284,7 @@
     String::from_utf8(text.to_vec()).map_err(|_| MALFORMED_PARAMETER)
 }
 
-/// Writes a name and its value as part of a parameter stream (section 3.4).
+/// Appends a pair of a name and a value to a parameter stream (section 3.4).
 pub fn write_pair(out: &mut Vec<u8>, name: &str, value: &str) {
     write_length(out, name.len());
     write_length(out, value.len());
--- a/crates/proxy/src/protocol/http/head.rs
+++ b/crates/proxy/src/protocol/http/head.rs
@@ -1,33 +1,34 @@
-//! The head of a message: its start line and its headers.
+//! The head of an HTTP message: the start line and the headers.
 
-/// What the version in a start line begins with.
+/// Prefix of the HTTP version in a start line. All versions 1.x are accepted.
 const VERSION_PREFIX: &str = "HTTP/1.";
 
-/// A message's head.
+/// The head of an HTTP message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The start line: a request line or a status line (RFC 9112, sections 3 and 4).
-    pub start: String,
-    /// Names in lower case, and values.
+    /// Request line or status line (RFC 9112, sections 3 and 4).
+    pub start_line: String,
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of the first header of a name, which is given in lower case.
+    /// Returns the value of the first header with this name, which has to be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let (_, value) = self.headers.iter().find(|(known, _)| known == name)?;
         Some(value)
     }
 
-    /// The status code of a response; none if this is not the head of a response.
+    /// Returns the status code of a response, or `None` if this is not the head of a response.
     pub fn status(&self) -> Option<u16> {
-        let version_and_status = self.start.strip_prefix(VERSION_PREFIX)?;
+        let version_and_status = self.start_line.strip_prefix(VERSION_PREFIX)?;
         version_and_status.split(' ').nth(1)?.parse().ok()
     }
 
-    /// Method and target of a request; none if this is not the head of a request.
-    pub fn request(&self) -> Option<(&str, &str)> {
-        let mut words = self.start.split(' ');
+    /// Returns the method and the target of a request, or `None` if this is not the head of a
+    /// request.
+    pub fn method_and_target(&self) -> Option<(&str, &str)> {
+        let mut words = self.start_line.split(' ');
         let method = words.next()?;
         let target = words.next()?;
         let version = words.next()?;
@@ -35,9 +36,10 @@
         is_request_line.then_some((method, target))
     }
 
-    /// Whether the sender keeps the connection open after the message (RFC 9112, section 9.3).
-    pub fn keeps_open(&self) -> bool {
-        if self.start.contains("HTTP/1.0") {
+    /// Returns whether the sender keeps the connection open after this message (RFC 9112, section
+    /// 9.3).
+    pub fn keeps_connection_open(&self) -> bool {
+        if self.start_line.contains("HTTP/1.0") {
             self.has_connection_option("keep-alive")
         } else {
             !self.has_connection_option("close")
--- a/crates/proxy/src/protocol/http/messages.rs
+++ b/crates/proxy/src/protocol/http/messages.rs
@@ -1,85 +1,88 @@
-//! Reads messages piece by piece, so that a body of any length needs no memory of its own.
+//! Incremental parser for HTTP messages. It does not buffer bodies: it returns each piece as it
+//! arrives, so memory use does not depend on the length of a body.
 
 use super::Head;
 use crate::protocol::line::LineBuffer;
 use crate::protocol::{Parser, ProtocolError};
 
-/// The most headers in a head.
-const HEADER_LIMIT: usize = 64;
+/// Maximum number of headers in a message.
+const MAX_HEADERS: usize = 64;
 
-const MALFORMED_BODY_LENGTH: ProtocolError = ProtocolError::Malformed("an HTTP body's length");
+const MALFORMED_BODY_LENGTH: ProtocolError = ProtocolError::Malformed(
+    "an HTTP body's length (expected one Content-Length or chunked coding)",
+);
 const BODY_TOO_LONG: ProtocolError = ProtocolError::TooLong("an HTTP body");
 
-/// A piece of a message. A message is its head, any number of pieces of its body, and its end.
+/// A piece of a message. A message consists of one head, any number of body pieces and one end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// Its head.
+    /// Start line and headers.
     Head(Head),
-    /// Bytes of its body.
+    /// Some bytes of the body.
     Body(Vec<u8>),
-    /// Its end.
+    /// The end of the message.
     End,
 }
 
-/// What is being received.
+/// The part of the message that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The start line or the headers, up to the empty line.
+    /// The start line, a header, or the empty line after the headers.
     Head,
-    /// A body of a known length, by the bytes that are still to come.
-    Sized(usize),
-    /// The line with the size of a chunk (RFC 9112, section 7.1).
+    /// A body of known length, with the number of bytes that are still to be received.
+    SizedBody(usize),
+    /// The line with the size of the next chunk (RFC 9112, section 7.1).
     ChunkSize,
-    /// A chunk, by the bytes that are still to come.
+    /// The data of a chunk, with the number of bytes that are still to be received.
     ChunkData(usize),
-    /// The line end after a chunk.
+    /// The line end after the data of a chunk.
     ChunkEnd,
-    /// The trailers after the last chunk, up to the empty line.
+    /// A trailer after the last chunk, or the empty line after the trailers.
     Trailers,
-    /// A body that ends with the connection.
+    /// A body that ends when the connection is closed.
     UntilClose,
-    /// Nothing more: the end of the message is reported next.
+    /// Nothing. The message is complete, and the next call returns its end.
     Complete,
 }
 
-/// Reads messages.
+/// Incremental parser for either requests or responses.
 #[derive(Clone, Debug)]
 pub struct MessageParser {
     reads_responses: bool,
-    body_limit: usize,
+    body_limit_bytes: usize,
     state: State,
-    line: LineBuffer,
-    /// The head that is being received; none before its start line.
+    line_buffer: LineBuffer,
+    /// The head that is being received, or `None` before its start line.
     partial_head: Option<Head>,
-    /// Bytes of the chunks that the body has announced so far.
-    chunked_bytes: usize,
+    /// Sum of the chunk sizes that the body has announced so far.
+    announced_chunk_bytes: usize,
 }
 
 impl MessageParser {
-    /// A reader of requests: limits on lines and bodies are in bytes.
-    pub fn requests(line_limit: usize, body_limit: usize) -> Self {
+    /// Creates a parser for requests with limits on the length of each line and each body.
+    pub fn requests(line_limit_bytes: usize, body_limit_bytes: usize) -> Self {
         MessageParser {
             reads_responses: false,
-            body_limit,
+            body_limit_bytes,
             state: State::Head,
-            line: LineBuffer::new(line_limit),
+            line_buffer: LineBuffer::new(line_limit_bytes),
             partial_head: None,
-            chunked_bytes: 0,
+            announced_chunk_bytes: 0,
         }
     }
 
-    /// A reader of responses: limits on lines and bodies are in bytes. The limit of bodies is
-    /// `usize::MAX` for streams.
-    pub fn responses(line_limit: usize, body_limit: usize) -> Self {
+    /// Creates a parser for responses with limits on the length of each line and each body. For
+    /// streams, `body_limit_bytes` is `usize::MAX`.
+    pub fn responses(line_limit_bytes: usize, body_limit_bytes: usize) -> Self {
         MessageParser {
             reads_responses: true,
-            ..Self::requests(line_limit, body_limit)
+            ..Self::requests(line_limit_bytes, body_limit_bytes)
         }
     }
 
-    /// Whether the end of the connection would now be the end of a message, or come between two
-    /// messages.
-    pub fn may_end(&self) -> bool {
+    /// Returns whether the connection may be closed at this point: either its end also ends the
+    /// message, or no message is partially received.
+    pub fn may_end_at_close(&self) -> bool {
         match self.state {
             State::UntilClose => true,
             State::Head => self.partial_head.is_none(),
@@ -87,24 +90,24 @@
         }
     }
 
-    /// Reports the end of the message and gets ready for the next one.
+    /// Resets the state for the next message and returns the end of this one.
     fn finish(&mut self) -> Piece {
         self.state = State::Head;
-        self.chunked_bytes = 0;
+        self.announced_chunk_bytes = 0;
         Piece::End
     }
 
-    /// Takes bytes of the body: how many, and the piece of the body. None if the state awaits a
-    /// line.
+    /// Consumes bytes of the body. Returns the number of consumed bytes and the piece of the body,
+    /// or `None` if a line is expected next.
     fn take_body(&mut self, input: &[u8]) -> Option<(usize, Piece)> {
         let consumed = match self.state {
-            State::Sized(remaining) | State::ChunkData(remaining) => remaining.min(input.len()),
+            State::SizedBody(remaining) | State::ChunkData(remaining) => remaining.min(input.len()),
             State::UntilClose => input.len(),
             _ => return None,
         };
         self.state = match self.state {
-            State::Sized(remaining) if remaining == consumed => State::Complete,
-            State::Sized(remaining) => State::Sized(remaining - consumed),
+            State::SizedBody(remaining) if remaining == consumed => State::Complete,
+            State::SizedBody(remaining) => State::SizedBody(remaining - consumed),
             State::ChunkData(remaining) if remaining == consumed => State::ChunkEnd,
             State::ChunkData(remaining) => State::ChunkData(remaining - consumed),
             other => other,
@@ -112,70 +115,73 @@
         Some((consumed, Piece::Body(input[..consumed].to_vec())))
     }
 
-    /// Handles a whole line; a piece of the message if the line ends one.
+    /// Handles a complete line. Returns a piece of the message if the line completes one.
     fn handle_line(&mut self, line: Vec<u8>) -> Result<Option<Piece>, ProtocolError> {
         match self.state {
             State::Head => {
                 let Some(head) = self.handle_head_line(line)? else {
                     return Ok(None);
                 };
-                self.state = self.body_state(&head)?;
+                self.state = self.state_after_head(&head)?;
                 return Ok(Some(Piece::Head(head)));
             }
-            State::ChunkSize => self.state = self.chunk_state(&line)?,
+            State::ChunkSize => self.state = self.state_after_chunk_size(&line)?,
             State::ChunkEnd if line.is_empty() => self.state = State::ChunkSize,
             State::Trailers if line.is_empty() => return Ok(Some(self.finish())),
             State::Trailers => {}
             _ => {
                 return Err(ProtocolError::Malformed(
-                    "an HTTP chunk's end (expected CR LF)",
+                    "the line end after an HTTP chunk (expected CR LF)",
                 ))
             }
         }
         Ok(None)
     }
 
-    /// Handles a line of the head; the head if the line ends it.
+    /// Handles a line of the head. Returns the head if the line is the empty line that ends it.
     fn handle_head_line(&mut self, line: Vec<u8>) -> Result<Option<Head>, ProtocolError> {
         let line = String::from_utf8(line)
             .map_err(|_| ProtocolError::Malformed("an HTTP head (expected UTF-8)"))?;
         let Some(head) = &mut self.partial_head else {
-            // Empty lines before a message are skipped (RFC 9112, section 2.2).
+            // Empty lines before the start line are ignored (RFC 9112, section 2.2).
             if !line.is_empty() {
-                self.partial_head = Some(self.read_start_line(line)?);
+                self.partial_head = Some(self.parse_start_line(line)?);
             }
             return Ok(None);
         };
         if line.is_empty() {
             return Ok(self.partial_head.take());
         }
-        if head.headers.len() >= HEADER_LIMIT {
-            return Err(ProtocolError::TooLong("an HTTP head"));
+        if head.headers.len() >= MAX_HEADERS {
+            return Err(ProtocolError::TooLong(
+                "the list of headers of an HTTP message",
+            ));
         }
-        head.headers.push(read_header(&line)?);
+        head.headers.push(parse_header(&line)?);
         Ok(None)
     }
 
-    fn read_start_line(&self, line: String) -> Result<Head, ProtocolError> {
+    fn parse_start_line(&self, line: String) -> Result<Head, ProtocolError> {
         let head = Head {
-            start: line,
+            start_line: line,
             headers: Vec::new(),
         };
         if self.reads_responses && head.status().is_none() {
             return Err(ProtocolError::Malformed(
-                "an HTTP message's first line (expected a status line)",
+                "the start line of an HTTP response (expected a status line)",
             ));
         }
-        if !self.reads_responses && head.request().is_none() {
+        if !self.reads_responses && head.method_and_target().is_none() {
             return Err(ProtocolError::Malformed(
-                "an HTTP message's first line (expected a request line)",
+                "the start line of an HTTP request (expected a request line)",
             ));
         }
         Ok(head)
     }
 
-    /// How the body after a head ends (RFC 9112, section 6.3).
-    fn body_state(&self, head: &Head) -> Result<State, ProtocolError> {
+    /// Returns the state after a head, which depends on how the end of the body is determined (RFC
+    /// 9112, section 6.3).
+    fn state_after_head(&self, head: &Head) -> Result<State, ProtocolError> {
         let length = head.header("content-length");
         let coding = head.header("transfer-encoding");
         let lengths = head
@@ -183,7 +189,8 @@
             .iter()
             .filter(|(name, _)| name == "content-length")
             .count();
-        // Two ways to tell where a message ends are how requests are smuggled.
+        // A message with two indications of its length allows request smuggling, because two
+        // recipients may disagree about where it ends.
         if lengths > 1 || length.is_some() && coding.is_some() {
             return Err(MALFORMED_BODY_LENGTH);
         }
@@ -194,7 +201,7 @@
                 .ok_or(MALFORMED_BODY_LENGTH);
         }
         if let Some(length) = length {
-            return self.sized_state(length);
+            return self.state_after_content_length(length);
         }
         let has_no_body = matches!(head.status(), Some(100..200 | 204 | 304));
         Ok(if self.reads_responses && !has_no_body {
@@ -204,31 +211,31 @@
         })
     }
 
-    /// The state that follows a `Content-Length` header: decimal digits alone, no sign.
-    fn sized_state(&self, length: &str) -> Result<State, ProtocolError> {
+    /// Returns the state after a head with a `Content-Length` header. The length may consist only
+    /// of decimal digits, without a sign.
+    fn state_after_content_length(&self, length: &str) -> Result<State, ProtocolError> {
         if !length.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(MALFORMED_BODY_LENGTH);
         }
         match length.parse().map_err(|_| MALFORMED_BODY_LENGTH)? {
             0 => Ok(State::Complete),
-            length if length > self.body_limit => Err(BODY_TOO_LONG),
-            length => Ok(State::Sized(length)),
+            length if length > self.body_limit_bytes => Err(BODY_TOO_LONG),
+            length => Ok(State::SizedBody(length)),
         }
     }
 
-    /// The state that follows the line with the size of a chunk. Extensions of the chunk are
-    /// skipped.
-    fn chunk_state(&mut self, line: &[u8]) -> Result<State, ProtocolError> {
+    /// Returns the state after a line with the size of a chunk. Chunk extensions are ignored.
+    fn state_after_chunk_size(&mut self, line: &[u8]) -> Result<State, ProtocolError> {
         let line = std::str::from_utf8(line).unwrap_or("");
         let digits = line.split(';').next().unwrap_or("").trim();
         let size = usize::from_str_radix(digits, 16)
             .ok()
             .filter(|_| !digits.starts_with('+'))
             .ok_or(ProtocolError::Malformed(
-                "an HTTP chunk's size (expected hexadecimal digits)",
+                "the size of an HTTP chunk (expected hexadecimal digits)",
             ))?;
-        self.chunked_bytes = self.chunked_bytes.saturating_add(size);
-        if self.chunked_bytes > self.body_limit {
+        self.announced_chunk_bytes = self.announced_chunk_bytes.saturating_add(size);
+        if self.announced_chunk_bytes > self.body_limit_bytes {
             return Err(BODY_TOO_LONG);
         }
         Ok(match size {
@@ -238,8 +245,8 @@
     }
 }
 
-/// A header's name in lower case, and its value (RFC 9112, section 5).
-fn read_header(line: &str) -> Result<(String, String), ProtocolError> {
+/// Parses a header line. Returns the name in lower case and the value (RFC 9112, section 5).
+fn parse_header(line: &str) -> Result<(String, String), ProtocolError> {
     match line.split_once(':') {
         Some((name, value)) if !name.is_empty() && !name.contains([' ', '\t']) => {
             Ok((name.to_ascii_lowercase(), value.trim().to_owned()))
@@ -263,7 +270,7 @@
             if let Some((consumed, piece)) = self.take_body(rest) {
                 return Ok((position + consumed, Some(piece)));
             }
-            let progress = self.line.take(rest)?;
+            let progress = self.line_buffer.take(rest)?;
             position += progress.consumed;
             let Some(line) = progress.line else {
                 break;
--- a/crates/proxy/src/protocol/http/mod.rs
+++ b/crates/proxy/src/protocol/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages (RFC 9112): a head, then a body that ends by its length, by its last chunk or
-//! with the connection.
+//! HTTP/1.1 messages (RFC 9112). A message is a head followed by a body, whose end is determined by
+//! a length, by the last chunk or by the end of the connection.
 
 mod head;
 mod messages;
@@ -7,19 +7,19 @@
 pub use head::Head;
 pub use messages::{MessageParser, Piece};
 
-/// A complete message.
+/// A complete HTTP message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
-    /// Its start line and headers.
+    /// Start line and headers.
     pub head: Head,
-    /// Its body.
+    /// Body without any transfer coding.
     pub body: Vec<u8>,
 }
 
-/// Writes a message: `start` is its start line without the line end, and `Content-Length` is added
-/// to the headers.
-pub fn write_message(out: &mut Vec<u8>, start: &str, headers: &[(&str, &str)], body: &[u8]) {
-    out.extend_from_slice(start.as_bytes());
+/// Appends a message to `out` and adds a `Content-Length` header to `headers`. `start_line` has no
+/// line end.
+pub fn write_message(out: &mut Vec<u8>, start_line: &str, headers: &[(&str, &str)], body: &[u8]) {
+    out.extend_from_slice(start_line.as_bytes());
     out.extend_from_slice(b"\r\n");
     for (name, value) in headers {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
--- a/crates/proxy/src/protocol/line.rs
+++ b/crates/proxy/src/protocol/line.rs
@@ -1,41 +1,45 @@
-//! Lines that arrive in pieces.
+//! Assembles lines from input that may be split at any position.
 
 use super::ProtocolError;
 
-/// Collects the bytes of one line after the other. A line ends by LF or CR LF.
+/// Buffer for one partially received line at a time. A line ends with LF or CR LF.
 #[derive(Clone, Debug)]
 pub(super) struct LineBuffer {
     partial: Vec<u8>,
-    limit: usize,
+    limit_bytes: usize,
 }
 
-/// What came of taking bytes for a line.
+/// Result of passing input to a [`LineBuffer`].
 pub(super) struct LineProgress {
-    /// Bytes of the input that are consumed.
+    /// Number of input bytes that were consumed.
     pub consumed: usize,
-    /// The line without its end, if it is whole.
+    /// The line without its line end, or `None` if it is not complete yet.
     pub line: Option<Vec<u8>>,
 }
 
 impl LineBuffer {
-    /// A buffer for lines of at most `limit` bytes, their line feed with them.
-    pub(super) fn new(limit: usize) -> Self {
+    /// Creates a buffer for lines of at most `limit_bytes` bytes, including the line end.
+    pub(super) fn new(limit_bytes: usize) -> Self {
         LineBuffer {
             partial: Vec::new(),
-            limit,
+            limit_bytes,
         }
     }
 
-    /// Whether no line is partially received.
+    /// Returns whether the buffer holds no part of a line.
     pub(super) fn is_empty(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Takes bytes up to the end of the line, or all of the input if it has no line end.
+    /// Consumes input up to the end of the line, or all of the input if it has no line end.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the line is longer than the limit.
     pub(super) fn take(&mut self, input: &[u8]) -> Result<LineProgress, ProtocolError> {
         let line_feed = input.iter().position(|byte| *byte == b'\n');
         let consumed = line_feed.map_or(input.len(), |position| position + 1);
-        if self.partial.len() + consumed > self.limit {
+        if self.partial.len() + consumed > self.limit_bytes {
             return Err(ProtocolError::TooLong("a line"));
         }
         let text = &input[..line_feed.unwrap_or(input.len())];
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -1,8 +1,8 @@
-//! Codecs: incremental parsers and writers of protocols, without any I/O.
+//! Codecs: incremental parsers and encoders for the wire protocols, without any I/O.
 //!
-//! Every parser takes bytes as they arrive, cut anywhere, and is bounded by limits that are checked
-//! before memory is taken for what a peer announces. Unusable input is a typed error, never a
-//! panic.
+//! Every parser accepts bytes as they arrive, split at any position. Lengths that a peer announces
+//! are checked against limits before memory is allocated for them. Invalid input results in a typed
+//! error, never in a panic.
 //!
 //! - [`fastcgi`]: FastCGI 1.0 records and parameters.
 //! - [`http`]: HTTP/1.1 messages (RFC 9112).
@@ -17,28 +17,34 @@
 
 use thiserror::Error;
 
-/// Why input can't be read. It ends the connection that the input came by.
+/// Error for input that violates a protocol. The connection that delivered the input has to be
+/// closed.
 ///
-/// The text names the part of the input that is at fault and, where it isn't plain, what was
-/// expected.
+/// The text names the invalid part of the input and, where that is not obvious, what was expected
+/// instead.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// Longer than the limits allow.
+    /// This part of the input is longer than the limits allow.
     #[error("{0} is too long")]
     TooLong(&'static str),
-    /// Not in the form of the protocol.
+    /// This part of the input does not have the form that the protocol requires.
     #[error("{0} is malformed")]
     Malformed(&'static str),
 }
 
-/// An incremental parser.
+/// An incremental parser, which keeps a partially received item between calls.
 pub trait Parser {
-    /// What the parser yields.
+    /// Item that the parser produces.
     type Item;
 
-    /// Parses up to the end of the next item: how many bytes of `input` are consumed, and the item
-    /// if it is whole.
+    /// Parses `input` up to the end of the next item. Returns the number of consumed bytes, and the
+    /// item if it is complete.
     ///
-    /// Bytes after the item are left to the next call. Without an item all of `input` is consumed.
+    /// Bytes after the item are not consumed and have to be passed to the next call. If no item is
+    /// complete, all of `input` is consumed.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol or exceeds a limit.
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), ProtocolError>;
 }
--- a/crates/proxy/src/protocol/resp.rs
+++ b/crates/proxy/src/protocol/resp.rs
@@ -1,115 +1,130 @@
 //! RESP arrays of bulk strings, the protocol of the cache servers.
 //!
-//! An array is `*COUNT`, CR LF, then its strings; a string is `$LENGTH`, CR LF, its bytes, CR LF.
-//! Other RESP types are not used.
+//! An array is encoded as `*COUNT`, CR LF and its strings. A bulk string is encoded as `$LENGTH`,
+//! CR LF, its bytes and CR LF. Other RESP types are not supported.
 
 use super::line::LineBuffer;
 use super::{Parser, ProtocolError};
 
-/// The most strings in an array. Requests and answers have four at most.
-const ARRAY_LIMIT: usize = 8;
-/// The longest line that announces an array or a string, in bytes, its end with it.
-const LINE_LIMIT: usize = 32;
+/// Maximum number of strings in an array. Commands and answers have at most four.
+const MAX_ARRAY_STRINGS: usize = 8;
+/// Maximum length of a line that holds the length of an array or of a string, including the line
+/// end.
+const MAX_LENGTH_LINE_BYTES: usize = 32;
 const LINE_END: &[u8] = b"\r\n";
 
 /// The strings of one array.
 pub type Array = Vec<Vec<u8>>;
 
-/// What is being received.
+/// The part of the input that is expected next.
 #[derive(Clone, Copy)]
 enum State {
-    /// The line that announces an array.
-    ArrayHeader,
-    /// The line that announces the next string of an array that lacks `missing` strings.
-    StringHeader { missing: usize },
-    /// The bytes of a string and its line end, in an array that lacks `missing` strings, this one
-    /// among them.
-    StringContent { missing: usize, length: usize },
+    /// The line with the number of strings in the array.
+    ArrayLength,
+    /// The line with the length of the next string. The array still lacks `missing_strings` strings.
+    StringLength { missing_strings: usize },
+    /// The bytes of a string and the line end after it. The array still lacks `missing_strings`
+    /// strings, including this one.
+    StringContent {
+        missing_strings: usize,
+        length_bytes: usize,
+    },
 }
 
-/// Reads arrays of bulk strings.
+/// Incremental parser for arrays of bulk strings.
 pub struct ArrayParser {
-    string_limit: usize,
+    string_limit_bytes: usize,
     state: State,
-    line: LineBuffer,
-    /// The whole strings of the array that is being received.
+    line_buffer: LineBuffer,
+    /// Complete strings of the array that is being received.
     strings: Array,
-    /// The string that is being received.
+    /// Received bytes of the string that is not complete yet, including its line end.
     partial_string: Vec<u8>,
 }
 
 impl ArrayParser {
-    /// A reader of arrays. The limit on each string is in bytes.
-    pub fn new(string_limit: usize) -> Self {
+    /// Creates a parser for arrays whose strings have at most `string_limit_bytes` bytes each.
+    pub fn new(string_limit_bytes: usize) -> Self {
         ArrayParser {
-            string_limit,
-            state: State::ArrayHeader,
-            line: LineBuffer::new(LINE_LIMIT),
+            string_limit_bytes,
+            state: State::ArrayLength,
+            line_buffer: LineBuffer::new(MAX_LENGTH_LINE_BYTES),
             strings: Vec::new(),
             partial_string: Vec::new(),
         }
     }
 
-    /// Whether an array is partially received.
+    /// Returns whether an array is partially received.
     pub fn has_partial_input(&self) -> bool {
-        !matches!(self.state, State::ArrayHeader) || !self.line.is_empty()
+        !matches!(self.state, State::ArrayLength) || !self.line_buffer.is_empty()
     }
 
-    /// The first string of the array that is partially received.
-    pub fn first(&self) -> Option<&[u8]> {
+    /// Returns the first string of the array that is partially received, or `None` if that string
+    /// is not complete yet.
+    pub fn first_string(&self) -> Option<&[u8]> {
         self.strings.first().map(Vec::as_slice)
     }
 
-    /// Parses one step: how many bytes are consumed, and the array if it is whole.
+    /// Parses within the current state. Returns the number of consumed bytes, and the array if it
+    /// is complete.
     fn step(&mut self, input: &[u8]) -> Result<(usize, Option<Array>), ProtocolError> {
         match self.state {
-            State::StringHeader { missing: 0 } => {
-                self.state = State::ArrayHeader;
+            State::StringLength { missing_strings: 0 } => {
+                self.state = State::ArrayLength;
                 Ok((0, Some(std::mem::take(&mut self.strings))))
             }
-            State::ArrayHeader => {
-                let progress = self.line.take(input)?;
+            State::ArrayLength => {
+                let progress = self.line_buffer.take(input)?;
                 if let Some(line) = progress.line {
-                    let missing = read_length(&line, b'*', ARRAY_LIMIT, "a RESP array")?;
-                    self.state = State::StringHeader { missing };
+                    let missing_strings =
+                        parse_length(&line, b'*', MAX_ARRAY_STRINGS, "a RESP array")?;
+                    self.state = State::StringLength { missing_strings };
                 }
                 Ok((progress.consumed, None))
             }
-            State::StringHeader { missing } => {
-                let progress = self.line.take(input)?;
+            State::StringLength { missing_strings } => {
+                let progress = self.line_buffer.take(input)?;
                 if let Some(line) = progress.line {
-                    let length = read_length(&line, b'$', self.string_limit, "a RESP string")?;
-                    self.state = State::StringContent { missing, length };
+                    let length_bytes =
+                        parse_length(&line, b'$', self.string_limit_bytes, "a RESP string")?;
+                    self.state = State::StringContent {
+                        missing_strings,
+                        length_bytes,
+                    };
                 }
                 Ok((progress.consumed, None))
             }
-            State::StringContent { missing, length } => {
-                let consumed = self.take_content(input, missing, length)?;
+            State::StringContent {
+                missing_strings,
+                length_bytes,
+            } => {
+                let consumed = self.take_content(input, missing_strings, length_bytes)?;
                 Ok((consumed, None))
             }
         }
     }
 
-    /// Takes bytes of a string and of its line end: how many are consumed.
+    /// Consumes bytes of a string and of the line end after it. Returns the number of consumed
+    /// bytes.
     fn take_content(
         &mut self,
         input: &[u8],
-        missing: usize,
-        length: usize,
+        missing_strings: usize,
+        length_bytes: usize,
     ) -> Result<usize, ProtocolError> {
-        let wanted = length + LINE_END.len() - self.partial_string.len();
+        let wanted = length_bytes + LINE_END.len() - self.partial_string.len();
         let consumed = wanted.min(input.len());
         self.partial_string.extend_from_slice(&input[..consumed]);
         if consumed == wanted {
             if !self.partial_string.ends_with(LINE_END) {
                 return Err(ProtocolError::Malformed(
-                    "the end of a RESP string (expected CR LF)",
+                    "the line end after a RESP string (expected CR LF)",
                 ));
             }
-            self.partial_string.truncate(length);
+            self.partial_string.truncate(length_bytes);
             self.strings.push(std::mem::take(&mut self.partial_string));
-            self.state = State::StringHeader {
-                missing: missing - 1,
+            self.state = State::StringLength {
+                missing_strings: missing_strings - 1,
             };
         }
         Ok(consumed)
@@ -122,8 +137,8 @@
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), ProtocolError> {
         let mut position = 0;
         loop {
-            let is_whole = matches!(self.state, State::StringHeader { missing: 0 });
-            if position == input.len() && !is_whole {
+            let is_complete = matches!(self.state, State::StringLength { missing_strings: 0 });
+            if position == input.len() && !is_complete {
                 return Ok((position, None));
             }
             let (consumed, array) = self.step(&input[position..])?;
@@ -135,15 +150,16 @@
     }
 }
 
-/// The number in a line that announces an array or a string: a mark, then decimal digits.
-fn read_length(
+/// Parses a line that holds the length of an array or of a string: `prefix`, then decimal digits.
+/// `item` names the array or string in errors.
+fn parse_length(
     line: &[u8],
-    mark: u8,
+    prefix: u8,
     limit: usize,
-    what: &'static str,
+    item: &'static str,
 ) -> Result<usize, ProtocolError> {
-    let malformed = || ProtocolError::Malformed(what);
-    let digits = line.strip_prefix(&[mark]).ok_or_else(malformed)?;
+    let malformed = || ProtocolError::Malformed(item);
+    let digits = line.strip_prefix(&[prefix]).ok_or_else(malformed)?;
     if !digits.iter().all(u8::is_ascii_digit) {
         return Err(malformed());
     }
@@ -151,14 +167,14 @@
         .ok()
         .and_then(|text| text.parse::<usize>().ok())
         .ok_or_else(malformed)?;
-    // Checked before any memory is taken for it: a peer may announce any length.
+    // A peer may announce any length, so the limit is checked before memory is allocated.
     if length > limit {
-        return Err(ProtocolError::TooLong(what));
+        return Err(ProtocolError::TooLong(item));
     }
     Ok(length)
 }
 
-/// Writes an array of bulk strings.
+/// Appends an array of bulk strings to `out`.
 pub fn write_array(out: &mut Vec<u8>, strings: &[&[u8]]) {
     out.extend_from_slice(format!("*{}\r\n", strings.len()).as_bytes());
     for string in strings {
@@ -168,8 +184,9 @@
     }
 }
 
-/// The value of a field in a list `name=value,name=value`, by the first of its name.
-pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
+/// Returns the value of the first field with this name in a list `name=value,name=value`. Returns
+/// `None` if the list has no such field or is not UTF-8.
+pub fn field_value<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let fields = std::str::from_utf8(fields).ok()?;
     fields.split(',').find_map(|field| {
         let (field_name, value) = field.split_once('=')?;
--- a/crates/proxy/src/protocol/sse.rs
+++ b/crates/proxy/src/protocol/sse.rs
@@ -1,53 +1,55 @@
 //! Server-sent events (HTML Standard, section 9.2).
 //!
-//! A stream is made of lines `name: value`. The `data` lines up to an empty line make up an event;
-//! an `id` line names the id of all events from there on. Comments and other fields are skipped.
+//! A stream consists of lines `name: value`. An event consists of the `data` lines up to the next
+//! empty line. An `id` line sets the id of the current event and of all later ones. Comments and
+//! other fields are ignored.
 
 use super::line::LineBuffer;
 use super::{Parser, ProtocolError};
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The last id that the stream has named; empty if none.
+    /// The most recent id in the stream, or an empty string if there was none.
     pub id: String,
-    /// The values of its `data` lines, joined by line feeds.
+    /// Values of the `data` lines, joined by line feeds.
     pub data: String,
 }
 
-/// Reads events out of a stream's bytes.
+/// Incremental parser for a stream of events.
 pub struct EventParser {
-    event_limit: usize,
-    line: LineBuffer,
-    last_id: String,
-    /// The data of the event that is being received; none while it has no `data` line.
+    event_limit_bytes: usize,
+    line_buffer: LineBuffer,
+    last_event_id: String,
+    /// Data of the event that is being received, or `None` before its first `data` line.
     data: Option<String>,
 }
 
 impl EventParser {
-    /// A reader of events. The limit, in bytes, holds for each line and for the data of an event.
-    pub fn new(event_limit: usize) -> Self {
+    /// Creates a parser. The limit applies to each line and to the data of each event.
+    pub fn new(event_limit_bytes: usize) -> Self {
         EventParser {
-            event_limit,
-            line: LineBuffer::new(event_limit),
-            last_id: String::new(),
+            event_limit_bytes,
+            line_buffer: LineBuffer::new(event_limit_bytes),
+            last_event_id: String::new(),
             data: None,
         }
     }
 
-    /// Handles a whole line; an event if the line ends one.
+    /// Handles a complete line. Returns an event if the line is the empty line that ends it.
     fn handle_line(&mut self, line: Vec<u8>) -> Result<Option<Event>, ProtocolError> {
-        let line = String::from_utf8(line)
-            .map_err(|_| ProtocolError::Malformed("an event's text (expected UTF-8)"))?;
+        let line = String::from_utf8(line).map_err(|_| {
+            ProtocolError::Malformed("a line of a server-sent event (expected UTF-8)")
+        })?;
         if line.is_empty() {
             return Ok(self.finish_event());
         }
         let (name, value) = line.split_once(':').unwrap_or((&line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match name {
-            "id" => self.last_id = value.to_owned(),
+            "id" => self.last_event_id = value.to_owned(),
             "data" => self.append_data(value)?,
-            // Comments, whose name is empty, and fields that are not used.
+            // Comments, which have an empty name, and fields that this parser does not support.
             _ => {}
         }
         Ok(None)
@@ -55,8 +57,8 @@
 
     fn append_data(&mut self, value: &str) -> Result<(), ProtocolError> {
         let data = self.data.get_or_insert_default();
-        if data.len() + value.len() > self.event_limit {
-            return Err(ProtocolError::TooLong("an event"));
+        if data.len() + value.len() > self.event_limit_bytes {
+            return Err(ProtocolError::TooLong("the data of a server-sent event"));
         }
         if !data.is_empty() {
             data.push('\n');
@@ -68,7 +70,7 @@
     fn finish_event(&mut self) -> Option<Event> {
         let data = self.data.take()?;
         Some(Event {
-            id: self.last_id.clone(),
+            id: self.last_event_id.clone(),
             data,
         })
     }
@@ -80,7 +82,7 @@
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Event>), ProtocolError> {
         let mut position = 0;
         while position < input.len() {
-            let progress = self.line.take(&input[position..])?;
+            let progress = self.line_buffer.take(&input[position..])?;
             position += progress.consumed;
             let Some(line) = progress.line else {
                 break;
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -126,7 +126,7 @@
     }
 
     fn field(&self, name: &str) -> Option<&str> {
-        resp::field(&self.fields, name)
+        resp::field_value(&self.fields, name)
     }
 
     fn fill_result(&self) -> FillResult {
--- a/crates/proxy/src/upstream/timeouts.rs
+++ b/crates/proxy/src/upstream/timeouts.rs
@@ -119,7 +119,7 @@
     pub fn partial_answer_deadline(&self, limits: &Limits) -> Option<Micros> {
         let id = self
             .answers
-            .first()
+            .first_string()
             .and_then(|id| std::str::from_utf8(id).ok());
         let stream = id.and_then(|id| self.streams.get(id));
         let awaited = stream.is_some_and(|stream| stream.is_awaited());
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -33,7 +33,7 @@
 fn answer(consul: &mut Consul, index: u64, body: &Value) -> Option<Vec<(String, EndpointState)>> {
     let headers = vec![("x-consul-index".to_owned(), index.to_string())];
     let head = Head {
-        start: "HTTP/1.1 200 OK".to_owned(),
+        start_line: "HTTP/1.1 200 OK".to_owned(),
         headers,
     };
     let entries = consul
@@ -123,7 +123,7 @@
     consul.failed();
     assert_eq!(target(&consul), "/v1/health/service/s");
     let head = Head {
-        start: "HTTP/1.1 500 Internal Server Error".to_owned(),
+        start_line: "HTTP/1.1 500 Internal Server Error".to_owned(),
         headers: vec![],
     };
     assert!(consul
@@ -132,7 +132,7 @@
         .to_string()
         .contains("500"));
     let head = Head {
-        start: "HTTP/1.1 200 OK".to_owned(),
+        start_line: "HTTP/1.1 200 OK".to_owned(),
         headers: vec![],
     };
     let text = |consul: &mut Consul, body: Value| {
--- a/crates/proxy/tests/protocol.rs
+++ b/crates/proxy/tests/protocol.rs
@@ -64,7 +64,7 @@
 fn write_padded_record(out: &mut Vec<u8>, record: &fastcgi::Record, padding: u8) {
     const PADDING_LENGTH_OFFSET: usize = 6;
     let start = out.len();
-    fastcgi::write_record(out, record.record_type, record.id, &record.content);
+    fastcgi::write_record(out, record.record_type, record.request_id, &record.content);
     out[start + PADDING_LENGTH_OFFSET] = padding;
     out.extend(vec![0; usize::from(padding)]);
 }
@@ -84,8 +84,8 @@
     ) {
         let mut input = Vec::new();
         let mut written = Vec::new();
-        for (record_type, id, content, padding) in padded_records {
-            let record = fastcgi::Record { record_type, id, content };
+        for (record_type, request_id, content, padding) in padded_records {
+            let record = fastcgi::Record { record_type, request_id, content };
             write_padded_record(&mut input, &record, padding);
             written.push(record);
         }
@@ -105,7 +105,7 @@
         }
         prop_assert_eq!(fastcgi::read_pairs(&input), Ok(pairs));
         let _ = fastcgi::read_pairs(&garbage);
-        let _ = fastcgi::read_begin(&garbage);
+        let _ = fastcgi::read_begin_request(&garbage);
     }
 
     #[test]
@@ -123,7 +123,7 @@
         assert_robust(new_parser, &input, &splits, &garbage, |arrays| arrays);
         let read = parse_all(new_parser(), &input, &splits).unwrap();
         prop_assert_eq!(read, arrays);
-        let _ = resp::field(&garbage, "a");
+        let _ = resp::field_value(&garbage, "a");
     }
 
     #[test]
@@ -197,7 +197,9 @@
         );
         assert_eq!(
             result,
-            Err(ProtocolError::Malformed("an HTTP body's length"))
+            Err(ProtocolError::Malformed(
+                "an HTTP body's length (expected one Content-Length or chunked coding)"
+            ))
         );
     }
 }
--- a/crates/soak/src/cache_server.rs
+++ b/crates/soak/src/cache_server.rs
@@ -142,7 +142,7 @@
     }
 
     fn handle_fetch(&self, id: String, fields: &str, writer: &Rc<Mutex<OwnedWriteHalf>>) {
-        let field = |name: &str| resp::field(fields.as_bytes(), name);
+        let field = |name: &str| resp::field_value(fields.as_bytes(), name);
         let number = |name: &str| field(name).and_then(|text| text.parse::<u64>().ok());
         let object = field("key").and_then(|key| u64::from_str_radix(key, 16).ok());
         let object = object.unwrap_or(0);
--- a/crates/soak/src/client/connection.rs
+++ b/crates/soak/src/client/connection.rs
@@ -156,10 +156,17 @@
             input = &input[taken..];
             let Some(record) = record else { continue };
             match record.record_type {
-                record_type::STDOUT => partial.entry(record.id).or_default().extend(record.content),
+                record_type::STDOUT => partial
+                    .entry(record.request_id)
+                    .or_default()
+                    .extend(record.content),
                 record_type::END_REQUEST => {
-                    let bytes = partial.remove(&record.id).unwrap_or_default();
-                    connection.deliver_answer(record.id, record.content.get(4).copied(), &bytes);
+                    let bytes = partial.remove(&record.request_id).unwrap_or_default();
+                    connection.deliver_answer(
+                        record.request_id,
+                        record.content.get(4).copied(),
+                        &bytes,
+                    );
                 }
                 _ => {}
             }
--- a/crates/testkit/src/fake_peer_cdn.rs
+++ b/crates/testkit/src/fake_peer_cdn.rs
@@ -57,7 +57,10 @@
     let message = read_message(socket, &mut parser, ReadUntil::MessageEnds)?;
     // A proxy that is gone by now has still sent its notification.
     let _ = socket.write_all(b"HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n");
-    let target = message.head.request().map(|(_, target)| target.to_owned());
+    let target = message
+        .head
+        .method_and_target()
+        .map(|(_, target)| target.to_owned());
     Ok(PeerNotification {
         target: target.unwrap_or_default(),
         body: String::from_utf8_lossy(&message.body).into_owned(),
--- a/crates/testkit/src/fastcgi_client.rs
+++ b/crates/testkit/src/fastcgi_client.rs
@@ -140,13 +140,13 @@
             match record {
                 Some(record) if record.record_type == record_type::STDOUT => self
                     .partial_responses
-                    .entry(record.id)
+                    .entry(record.request_id)
                     .or_default()
                     .extend(record.content),
                 Some(record) if record.record_type == record_type::END_REQUEST => {
-                    let output = self.partial_responses.remove(&record.id);
+                    let output = self.partial_responses.remove(&record.request_id);
                     let response = output.map(|bytes| parse_cgi_response(&bytes)).transpose()?;
-                    return Ok((record.id, response));
+                    return Ok((record.request_id, response));
                 }
                 Some(_) => {}
                 None => self.read_more()?,
--- a/crates/testkit/src/received_command.rs
+++ b/crates/testkit/src/received_command.rs
@@ -38,7 +38,7 @@
 
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
-        resp::field(self.fields.as_bytes(), name)
+        resp::field_value(self.fields.as_bytes(), name)
     }
 
     /// Whether it requests an object.
