--- a/crates/proxy/src/event_loop/clients/eviction.rs
+++ b/crates/proxy/src/event_loop/clients/eviction.rs
@@ -67,7 +67,7 @@
     /// while requests on it are unanswered, and for any other connection.
     pub(super) fn inactivity_deadline(&self, limits: &Limits) -> Option<Micros> {
         let session = self.role.client_session();
-        let unanswered = session.map_or(0, |session| session.unanswered());
+        let unanswered = session.map_or(0, |session| session.unanswered_requests());
         inactivity_deadline(
             self.eviction_class()?,
             unanswered,
--- a/crates/proxy/src/event_loop/clients/fastcgi.rs
+++ b/crates/proxy/src/event_loop/clients/fastcgi.rs
@@ -55,7 +55,10 @@
                 SessionEvent::HealthCheck(stream) => self.answer_health_check(key, stream),
                 SessionEvent::Request(stream, mut request) => {
                     request.remaining_us = request.remaining_us.saturating_sub(unread_us);
-                    let requests_behind = events.iter().filter(|event| event.is_request()).count();
+                    let requests_behind = events
+                        .iter()
+                        .filter(|event| event.requires_answer())
+                        .count();
                     self.admit_fastcgi_request(now, key, stream, request, requests_behind);
                 }
             }
@@ -85,7 +88,7 @@
         };
         while let Some(event) = session.read(&mut transport.input, &self.limits)? {
             if let SessionEvent::AbortUnadmitted(stream) = event {
-                events.retain(|earlier| earlier.stream() != Some(stream));
+                events.retain(|earlier| earlier.request_id() != Some(stream));
             } else {
                 events.push_back(event);
             }
@@ -154,7 +157,7 @@
             self.clients.unsent_answer_bytes > self.limits.unsent_answer_bytes;
         // A client that sends very many requests must leave room for the requests of other clients.
         let client_limit_exceeded = !self.limits.admits(
-            session.unanswered() - requests_behind,
+            session.unanswered_requests() - requests_behind,
             self.request_table.is_half_full(),
         );
         let rejected =
--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -381,7 +381,7 @@
         let Some(session) = role.client_session() else {
             return;
         };
-        let is_answered = session.unanswered() == 0 || reason.is_caused_by_peer();
+        let is_answered = session.unanswered_requests() == 0 || reason.is_caused_by_peer();
         self.request_table.invariants.check(
             Invariant::CloseOnlyIfAnswered,
             is_answered,
--- a/crates/proxy/src/event_loop/readiness.rs
+++ b/crates/proxy/src/event_loop/readiness.rs
@@ -55,7 +55,7 @@
         let role = self.connections.get(key).map(|connection| &connection.role);
         match role {
             Some(ConnectionRole::FastCgiClient(_)) => true,
-            Some(ConnectionRole::InterconnectClient(session)) => session.unanswered() > 0,
+            Some(ConnectionRole::InterconnectClient(session)) => session.unanswered_requests() > 0,
             _ => false,
         }
     }
--- a/crates/proxy/src/frontend/fastcgi/mod.rs
+++ b/crates/proxy/src/frontend/fastcgi/mod.rs
@@ -1,13 +1,14 @@
-//! The platform's front: web servers send requests over FastCGI 1.0 and get CGI responses.
+//! FastCGI frontend: the platform's web servers send requests over FastCGI 1.0 and receive CGI
+//! responses.
 //!
-//! The source of names, statuses and limits is the section "Clients to edge proxies" of the
+//! Names, statuses and limits are specified in the section "Clients to edge proxies" of the
 //! platform's protocol page.
 //!
 //! - `session`: one connection with its multiplexed requests.
-//! - `request`: reads the CGI parameters of a request into a
+//! - `request`: converts the CGI parameters of a request to a
 //!   [`ClientRequest`](crate::request_table::ClientRequest).
-//! - `response`: writes answers as CGI responses.
-//! - `outgoing`: the queue of answers on their way out.
+//! - `response`: encodes answers as CGI responses.
+//! - `outgoing`: the queue of answers that remain to be written.
 
 mod outgoing;
 mod request;
--- a/crates/proxy/src/frontend/fastcgi/outgoing.rs
+++ b/crates/proxy/src/frontend/fastcgi/outgoing.rs
@@ -1,51 +1,53 @@
-//! The queue of answers of one connection that are on their way out.
+//! The queue of answers that remain to be written on a connection.
 //!
-//! Answers leave one after the other, cut into records as room in the connection's output buffer
-//! allows.
+//! Answers are written one after the other. Each is split into records that fit into the free space
+//! of the connection's output buffer.
 
 use crate::net::RingBuffer;
 use crate::protocol::fastcgi::{self as wire, record_type, HEADER_BYTES};
 use std::collections::VecDeque;
 
-/// Room for the record that ends the STDOUT stream and the one that ends the request.
-const END_BYTES: usize = HEADER_BYTES + wire::END_REQUEST_RECORD_BYTES;
-/// No STDOUT record has less content than this unless it is the last: a client that reads slowly
-/// must not be sent its answer in fragments of a few bytes each.
-const MINIMUM_CONTENT_BYTES: usize = 1024;
+/// Length of the record that ends the STDOUT stream plus the END_REQUEST record.
+const END_RECORDS_BYTES: usize = HEADER_BYTES + wire::END_REQUEST_RECORD_BYTES;
+/// Minimum content of a STDOUT record other than the last one of a response. It keeps the answer to
+/// a client that reads slowly from being sent in fragments of a few bytes.
+const MIN_STDOUT_CONTENT_BYTES: usize = 1024;
 
 /// An answer to a request.
 pub(super) struct OutgoingAnswer {
-    /// The FastCGI request that it answers.
+    /// Id of the FastCGI request.
     pub request_id: u16,
-    /// The CGI response; empty where there is only a protocol status.
+    /// CGI response, or empty if the answer has only a protocol status.
     pub response: Vec<u8>,
-    /// The protocol status of END_REQUEST.
+    /// Protocol status in the END_REQUEST record.
     pub protocol_status: u8,
-    /// Whether the client wants the connection kept open.
+    /// Whether the client asked to keep the connection open.
     pub keep_connection: bool,
 }
 
+/// An entry of the queue.
 enum Outgoing {
     Answer {
         answer: OutgoingAnswer,
-        /// Bytes of the response that are written.
-        written: usize,
+        /// Number of response bytes that are already written.
+        written_bytes: usize,
     },
-    /// A whole management record.
+    /// An encoded management record.
     Management(Vec<u8>),
 }
 
-/// What came of an attempt to write the next part of the first answer.
+/// Result of writing the next part of an entry to the output buffer.
 enum Progress {
-    /// The output buffer has too little room.
+    /// The output buffer has too little free space, and nothing was written.
     OutputFull,
-    /// This many bytes of the response were written.
+    /// This number of response bytes was written, and more remains.
     Partial(usize),
-    /// It is written to its end, the last step with this many bytes of the response.
+    /// The entry is now completely written. The number counts the bytes of this step that
+    /// `unsent_bytes` includes.
     Complete(usize),
 }
 
-/// The answers on their way out, first in, first out.
+/// FIFO queue of answers that remain to be written.
 #[derive(Default)]
 pub(super) struct OutgoingQueue {
     queue: VecDeque<Outgoing>,
@@ -54,7 +56,7 @@
 }
 
 impl OutgoingQueue {
-    /// How many answers are not yet written whole.
+    /// Returns the number of answers that are not completely written.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
@@ -63,31 +65,33 @@
         self.queue.is_empty()
     }
 
-    /// Bytes of responses that are not yet written.
+    /// Returns the number of bytes of responses and management records that are not yet written.
     pub(super) fn unsent_bytes(&self) -> usize {
         self.unsent_bytes
     }
 
-    /// Whether an answer is written whose client wants the connection closed after it.
+    /// Returns whether an answer was written after which the client wants the connection closed.
     pub(super) fn close_requested(&self) -> bool {
         self.close_requested
     }
 
     pub(super) fn push_answer(&mut self, answer: OutgoingAnswer) {
         self.unsent_bytes += answer.response.len();
-        self.queue
-            .push_back(Outgoing::Answer { answer, written: 0 });
+        self.queue.push_back(Outgoing::Answer {
+            answer,
+            written_bytes: 0,
+        });
     }
 
-    /// Adds the answer to a management record.
-    pub(super) fn push_management(&mut self, record_type: u8, content: &[u8]) {
+    /// Adds a management record, which answers one of the client.
+    pub(super) fn push_management_record(&mut self, record_type: u8, content: &[u8]) {
         let mut record = Vec::new();
         wire::write_record(&mut record, record_type, wire::NULL_REQUEST_ID, content);
         self.unsent_bytes += record.len();
         self.queue.push_back(Outgoing::Management(record));
     }
 
-    /// Moves as much as fits into the output buffer.
+    /// Writes as much as fits into the output buffer.
     pub(super) fn write(&mut self, output: &mut RingBuffer) {
         while let Some(first) = self.queue.front_mut() {
             match first.write_next(output) {
@@ -113,14 +117,18 @@
 
     fn write_next(&mut self, output: &mut RingBuffer) -> Progress {
         match self {
-            Self::Management(record) => write_management(record, output),
-            Self::Answer { answer, written } if *written == answer.response.len() => {
-                write_end(answer, output)
-            }
-            Self::Answer { answer, written } => {
-                let progress = write_content(answer, *written, output);
+            Self::Management(record) => write_management_record(record, output),
+            Self::Answer {
+                answer,
+                written_bytes,
+            } if *written_bytes == answer.response.len() => write_end_records(answer, output),
+            Self::Answer {
+                answer,
+                written_bytes,
+            } => {
+                let progress = write_stdout_record(answer, *written_bytes, output);
                 if let Progress::Partial(bytes) = progress {
-                    *written += bytes;
+                    *written_bytes += bytes;
                 }
                 progress
             }
@@ -128,7 +136,7 @@
     }
 }
 
-fn write_management(record: &[u8], output: &mut RingBuffer) -> Progress {
+fn write_management_record(record: &[u8], output: &mut RingBuffer) -> Progress {
     if output.free_space() < record.len() {
         return Progress::OutputFull;
     }
@@ -136,12 +144,16 @@
     Progress::Complete(record.len())
 }
 
-/// Writes the next STDOUT record of a response of which `written` bytes are written.
-fn write_content(answer: &OutgoingAnswer, written: usize, output: &mut RingBuffer) -> Progress {
-    let unsent = &answer.response[written..];
+/// Writes the next STDOUT record of a response, of which `written_bytes` bytes are already written.
+fn write_stdout_record(
+    answer: &OutgoingAnswer,
+    written_bytes: usize,
+    output: &mut RingBuffer,
+) -> Progress {
+    let unsent = &answer.response[written_bytes..];
     let room = output.free_space().saturating_sub(HEADER_BYTES);
     let length = room.min(unsent.len()).min(wire::MAX_CONTENT_BYTES);
-    if length < unsent.len().min(MINIMUM_CONTENT_BYTES) {
+    if length < unsent.len().min(MIN_STDOUT_CONTENT_BYTES) {
         return Progress::OutputFull;
     }
     let mut record = Vec::with_capacity(HEADER_BYTES + length);
@@ -155,12 +167,12 @@
     Progress::Partial(length)
 }
 
-fn write_end(answer: &OutgoingAnswer, output: &mut RingBuffer) -> Progress {
-    if output.free_space() < END_BYTES {
+fn write_end_records(answer: &OutgoingAnswer, output: &mut RingBuffer) -> Progress {
+    if output.free_space() < END_RECORDS_BYTES {
         return Progress::OutputFull;
     }
-    let mut records = Vec::with_capacity(END_BYTES);
-    // A stream that was never started needs no end.
+    let mut records = Vec::with_capacity(END_RECORDS_BYTES);
+    // Without a response no STDOUT record was written, so there is no STDOUT stream to end.
     if !answer.response.is_empty() {
         wire::write_record(&mut records, record_type::STDOUT, answer.request_id, &[]);
     }
--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -1,8 +1,9 @@
-//! Reads the CGI parameters of a request into a [`ClientRequest`].
+//! Converts the CGI parameters of a request to a [`ClientRequest`].
 //!
-//! Nothing in a request may be guessed or passed on unread: a cache server closes a connection on
-//! fields that it can't read, with all other requests open on it, and the routing module learns
-//! from the figures. So a request with an unusable parameter is rejected.
+//! A request with an invalid parameter is rejected. The value is neither replaced by a default nor
+//! passed on unchecked. If a cache server received a field that it cannot parse, it would close the
+//! connection, which would fail all other requests on it. The routing module learns from the
+//! numbers in requests, which therefore have to be correct.
 
 use crate::limits::Limits;
 use crate::request_table::ClientRequest;
@@ -10,59 +11,59 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The path of a health check, in SCRIPT_NAME.
+/// SCRIPT_NAME of a health check.
 const HEALTH_PATH: &str = "/_health";
-/// What the path of a request begins with, in SCRIPT_NAME; the name of its class follows.
+/// Prefix of SCRIPT_NAME in a request for an object. The class name follows it.
 const INVOKE_PREFIX: &str = "/invoke/";
 
-/// Digits of a request id, of a resource key and of the tag of a copy.
-const ID_DIGITS: usize = 16;
-/// Digits of an idempotency key.
+/// Number of hexadecimal digits in a request id, an object key or the tag of a copy.
+const IDENTIFIER_DIGITS: usize = 16;
+/// Number of hexadecimal digits in an idempotency key.
 const IDEMPOTENCY_KEY_DIGITS: usize = 32;
-/// Objects are in one of 256 groups.
-const MAXIMUM_GROUP: u64 = 255;
+/// Highest purge group. There are 256 purge groups, numbered from 0.
+const MAX_GROUP: u64 = 255;
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
-/// A CGI parameter that this front reads.
+/// A CGI parameter that this frontend reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Parameter {
-    /// The path: `/_health`, or `/invoke/` and the name of a class.
+    /// Path: `/_health`, or `/invoke/` followed by a class name.
     ScriptName,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     ContentLength,
-    /// The request's id, new with every request: 16 hexadecimal digits.
+    /// Unique id of the request, 16 hexadecimal digits.
     RequestId,
-    /// The object: 16 hexadecimal digits.
-    ResourceKey,
-    /// How long the client waits for the whole answer, in milliseconds.
-    BudgetMs,
-    /// The part of the object, from 0.
-    Piece,
-    /// The group of the object, 0 to 255.
-    Lot,
-    /// The size of the part in KB; may have a fraction.
-    FootprintKb,
-    /// The idempotency key: 32 hexadecimal digits.
-    OnceKey,
-    /// The tag of the copy that the client holds: 16 hexadecimal digits.
-    Version,
+    /// Key of the requested object, 16 hexadecimal digits.
+    ObjectKey,
+    /// Time that the client waits for the complete answer, in milliseconds.
+    TimeBudgetMs,
+    /// Part of the object, counted from 0.
+    Part,
+    /// Purge group of the object, 0 to 255.
+    Group,
+    /// Size of the part in KB, possibly with a fraction.
+    SizeKb,
+    /// Idempotency key, 32 hexadecimal digits.
+    IdempotencyKey,
+    /// Tag of the copy that the client holds, 16 hexadecimal digits.
+    ClientCopyTag,
 }
 
 impl Parameter {
-    /// The name on the wire. CGI names the header `Request-Id` `HTTP_REQUEST_ID` (RFC 3875, section
-    /// 4.1.18).
+    /// Returns the name on the wire. CGI represents a header such as `Request-Id` by the parameter
+    /// `HTTP_REQUEST_ID` (RFC 3875, section 4.1.18).
     pub const fn name(self) -> &'static str {
         match self {
             Self::ScriptName => "SCRIPT_NAME",
             Self::ContentLength => "CONTENT_LENGTH",
             Self::RequestId => "HTTP_REQUEST_ID",
-            Self::ResourceKey => "HTTP_RESOURCE_KEY",
-            Self::BudgetMs => "HTTP_BUDGET_MS",
-            Self::Piece => "HTTP_X_PIECE",
-            Self::Lot => "HTTP_X_LOT",
-            Self::FootprintKb => "HTTP_FOOTPRINT_KB",
-            Self::OnceKey => "HTTP_ONCE_KEY",
-            Self::Version => "HTTP_X_VER",
+            Self::ObjectKey => "HTTP_RESOURCE_KEY",
+            Self::TimeBudgetMs => "HTTP_BUDGET_MS",
+            Self::Part => "HTTP_X_PIECE",
+            Self::Group => "HTTP_X_LOT",
+            Self::SizeKb => "HTTP_FOOTPRINT_KB",
+            Self::IdempotencyKey => "HTTP_ONCE_KEY",
+            Self::ClientCopyTag => "HTTP_X_VER",
         }
     }
 }
@@ -73,71 +74,69 @@
     }
 }
 
-/// Why a request can't be admitted: the parameter at fault, and what was expected of it.
+/// Error for a request that is rejected because of a parameter. The text names the parameter and
+/// what was expected of it.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidParameter {
-    /// A parameter that every request needs is absent or empty.
-    #[error("{0} is missing")]
+    /// A required parameter is absent or empty.
+    #[error("{0} is missing or empty")]
     Missing(Parameter),
-    /// Not an identifier of the expected length.
+    /// The value is not a hexadecimal identifier of the expected length.
     #[error("{parameter} must be {digits} hexadecimal digits")]
     NotHexadecimal {
-        /// The parameter at fault.
+        /// The invalid parameter.
         parameter: Parameter,
-        /// How many digits were expected.
+        /// Expected number of digits.
         digits: usize,
     },
-    /// Not a whole number in decimal digits, or outside of its range.
-    #[error("{parameter} must be a whole number from {minimum} to {maximum}")]
-    NotInRange {
-        /// The parameter at fault.
+    /// The value is not a whole number in decimal digits, or is outside of its range.
+    #[error("{parameter} must be a whole number from {min} to {max}")]
+    OutOfRange {
+        /// The invalid parameter.
         parameter: Parameter,
-        /// The least number allowed.
-        minimum: u64,
-        /// The greatest number allowed.
-        maximum: u64,
+        /// Smallest allowed number.
+        min: u64,
+        /// Largest allowed number.
+        max: u64,
     },
-    /// Not a size, or outside of its range.
-    #[error(
-        "{} must be a number of KB from 0 to {maximum_kb}",
-        Parameter::FootprintKb
-    )]
+    /// The value is not a size, or is outside of its range.
+    #[error("{} must be a number of KB from 0 to {max_kb}", Parameter::SizeKb)]
     InvalidSize {
-        /// The greatest size allowed, in KB.
-        maximum_kb: f64,
+        /// Largest allowed size in KB.
+        max_kb: f64,
     },
-    /// The body is not as long as announced.
+    /// The length of the body differs from the announced length.
     #[error(
-        "{} is {announced}, but the body has {received} bytes",
+        "{} is {announced_bytes}, but the body has {received_bytes} bytes",
         Parameter::ContentLength
     )]
     BodyLengthMismatch {
-        /// Bytes announced.
-        announced: u64,
-        /// Bytes received.
-        received: usize,
+        /// Announced length of the body.
+        announced_bytes: u64,
+        /// Received length of the body.
+        received_bytes: usize,
     },
-    /// The path names no class.
+    /// The path does not contain a valid class name.
     #[error(
-        "{} must be {} and the name of a class",
+        "{} must be {} followed by a class name (letters, digits, '-' and '_')",
         Parameter::ScriptName,
         INVOKE_PREFIX
     )]
     InvalidPath,
 }
 
-/// What a path names.
+/// The endpoint that a path names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Endpoint {
-    /// The question whether the proxy is ready.
+    /// Health check, which asks whether the proxy is ready.
     HealthCheck,
-    /// A request of a class.
+    /// Request for an object of the class that the path names.
     Invoke,
-    /// Nothing that exists here.
+    /// No endpoint of this proxy.
     Unknown,
 }
 
-/// The CGI parameters of one request.
+/// The CGI parameters of a request, as pairs of a name and a value.
 pub(super) struct Parameters(Vec<(String, String)>);
 
 impl Parameters {
@@ -145,7 +144,7 @@
         Parameters(pairs)
     }
 
-    /// What the request's path names.
+    /// Returns the endpoint that the path of the request names.
     pub(super) fn endpoint(&self) -> Endpoint {
         match self.get(Parameter::ScriptName).unwrap_or("") {
             HEALTH_PATH => Endpoint::HealthCheck,
@@ -154,30 +153,34 @@
         }
     }
 
-    /// The request that the parameters and the body make up, or the first fault in them.
-    pub(super) fn client_request(
+    /// Returns the request that the parameters and the body describe.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error for the first parameter that is invalid or missing.
+    pub(super) fn build_client_request(
         &self,
         body: Vec<u8>,
         limits: &Limits,
     ) -> Result<ClientRequest, InvalidParameter> {
         self.check_content_length(body.len())?;
         Ok(ClientRequest {
-            id: self.required_hexadecimal(Parameter::RequestId)?,
+            id: self.required_identifier(Parameter::RequestId)?,
             class: self.class()?.to_owned(),
-            object: self.required_hexadecimal(Parameter::ResourceKey)?,
+            object: self.required_identifier(Parameter::ObjectKey)?,
             part: self
-                .number(Parameter::Piece, 0, limits.max_part)?
+                .number(Parameter::Part, 0, limits.max_part)?
                 .unwrap_or(0),
-            group: self.number(Parameter::Lot, 0, MAXIMUM_GROUP)?.unwrap_or(0),
+            group: self.number(Parameter::Group, 0, MAX_GROUP)?.unwrap_or(0),
             size_kb: self.size_kb(limits.max_size_kb)?,
             remaining_us: self.remaining_us(limits)?,
-            idempotency_key: self.hexadecimal(Parameter::OnceKey, IDEMPOTENCY_KEY_DIGITS)?,
-            client_copy_tag: self.hexadecimal(Parameter::Version, ID_DIGITS)?,
+            idempotency_key: self.hexadecimal(Parameter::IdempotencyKey, IDEMPOTENCY_KEY_DIGITS)?,
+            client_copy_tag: self.hexadecimal(Parameter::ClientCopyTag, IDENTIFIER_DIGITS)?,
             body,
         })
     }
 
-    /// The value of a parameter, by the first pair of its name. An empty value counts as none.
+    /// Returns the value of the first parameter with this name, or `None` if it is absent or empty.
     fn get(&self, parameter: Parameter) -> Option<&str> {
         let (_, value) = self.0.iter().find(|(name, _)| name == parameter.name())?;
         Some(value.as_str()).filter(|value| !value.is_empty())
@@ -196,28 +199,29 @@
         }
     }
 
-    fn required_hexadecimal(&self, parameter: Parameter) -> Result<String, InvalidParameter> {
-        self.hexadecimal(parameter, ID_DIGITS)?
+    fn required_identifier(&self, parameter: Parameter) -> Result<String, InvalidParameter> {
+        self.hexadecimal(parameter, IDENTIFIER_DIGITS)?
             .ok_or(InvalidParameter::Missing(parameter))
     }
 
-    /// A whole number in decimal digits alone: no sign, as `str::parse` would allow.
+    /// Returns the value of a numeric parameter, or `None` if it is absent or empty. The number may
+    /// consist only of decimal digits, although `str::parse` also accepts a sign.
     fn number(
         &self,
         parameter: Parameter,
-        minimum: u64,
-        maximum: u64,
+        min: u64,
+        max: u64,
     ) -> Result<Option<u64>, InvalidParameter> {
         let Some(value) = self.get(parameter) else {
             return Ok(None);
         };
-        let digits_only = value.bytes().all(|byte| byte.is_ascii_digit());
+        let is_decimal = value.bytes().all(|byte| byte.is_ascii_digit());
         match value.parse() {
-            Ok(number) if digits_only && (minimum..=maximum).contains(&number) => Ok(Some(number)),
-            _ => Err(InvalidParameter::NotInRange {
+            Ok(number) if is_decimal && (min..=max).contains(&number) => Ok(Some(number)),
+            _ => Err(InvalidParameter::OutOfRange {
                 parameter,
-                minimum,
-                maximum,
+                min,
+                max,
             }),
         }
     }
@@ -229,30 +233,30 @@
             .ok_or(InvalidParameter::InvalidPath)
     }
 
-    fn size_kb(&self, maximum_kb: f64) -> Result<f64, InvalidParameter> {
-        let Some(value) = self.get(Parameter::FootprintKb) else {
+    fn size_kb(&self, max_kb: f64) -> Result<f64, InvalidParameter> {
+        let Some(value) = self.get(Parameter::SizeKb) else {
             return Ok(0.0);
         };
         match value.parse::<f64>() {
-            Ok(size_kb) if size_kb >= 0.0 && size_kb <= maximum_kb => Ok(size_kb),
-            _ => Err(InvalidParameter::InvalidSize { maximum_kb }),
+            Ok(size_kb) if size_kb >= 0.0 && size_kb <= max_kb => Ok(size_kb),
+            _ => Err(InvalidParameter::InvalidSize { max_kb }),
         }
     }
 
     fn remaining_us(&self, limits: &Limits) -> Result<Micros, InvalidParameter> {
-        let maximum_ms = limits.client_budget_us / MICROS_PER_MILLISECOND;
+        let max_ms = limits.client_budget_us / MICROS_PER_MILLISECOND;
         let budget_ms = self
-            .number(Parameter::BudgetMs, 1, maximum_ms)?
-            .ok_or(InvalidParameter::Missing(Parameter::BudgetMs))?;
+            .number(Parameter::TimeBudgetMs, 1, max_ms)?
+            .ok_or(InvalidParameter::Missing(Parameter::TimeBudgetMs))?;
         Ok(budget_ms * MICROS_PER_MILLISECOND)
     }
 
-    fn check_content_length(&self, received: usize) -> Result<(), InvalidParameter> {
+    fn check_content_length(&self, received_bytes: usize) -> Result<(), InvalidParameter> {
         match self.number(Parameter::ContentLength, 0, u64::MAX)? {
-            Some(announced) if announced != received as u64 => {
+            Some(announced_bytes) if announced_bytes != received_bytes as u64 => {
                 Err(InvalidParameter::BodyLengthMismatch {
-                    announced,
-                    received,
+                    announced_bytes,
+                    received_bytes,
                 })
             }
             _ => Ok(()),
@@ -260,7 +264,7 @@
     }
 }
 
-/// Whether a text is `digits` hexadecimal digits, as ids, keys and tags are.
+/// Returns whether a text consists of exactly `digits` hexadecimal digits.
 fn is_hexadecimal(text: &str, digits: usize) -> bool {
     text.len() == digits && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/proxy/src/frontend/fastcgi/response.rs
+++ b/crates/proxy/src/frontend/fastcgi/response.rs
@@ -1,12 +1,12 @@
-//! Writes answers as CGI responses (RFC 3875, section 6): a `Status` header, further headers, an
-//! empty line, the body.
+//! Encodes answers as CGI responses (RFC 3875, section 6). A CGI response consists of a `Status`
+//! header, further headers, an empty line and the body.
 
 use crate::request_table::{Answer, Content};
 use edge_routing::Micros;
 
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
-/// The CGI response for the final answer to a request.
+/// Returns the CGI response for the final answer to a request.
 pub(super) fn cgi_response(answer: &Answer) -> Vec<u8> {
     match answer {
         Answer::Served(Content::Object { bytes, .. }) => object(bytes),
@@ -16,7 +16,8 @@
     }
 }
 
-/// The CGI response that has a status and nothing else. `status` is the code and the reason phrase.
+/// Returns a CGI response that has only a status. `status` consists of the code and the reason
+/// phrase, as in `200 OK`.
 pub(super) fn status_only(status: &str) -> Vec<u8> {
     without_body(status, "")
 }
@@ -42,7 +43,7 @@
     without_body("503 Service Unavailable", &back_off)
 }
 
-/// A response with an empty body; `headers` are whole lines with their line ends.
+/// Returns a response with an empty body. `headers` consists of complete lines with their line ends.
 fn without_body(status: &str, headers: &str) -> Vec<u8> {
     format!("Status: {status}\r\n{headers}Content-Length: 0\r\n\r\n").into_bytes()
 }
--- a/crates/proxy/src/frontend/fastcgi/session.rs
+++ b/crates/proxy/src/frontend/fastcgi/session.rs
@@ -1,7 +1,9 @@
-//! One connection of a web server: FastCGI records become requests, answers become records.
+//! Session of a web server's connection, which converts FastCGI records to requests and answers to
+//! records.
 //!
-//! Requests are multiplexed on a connection. Each is a stream that is first received, then awaits
-//! its answer; after that it is forgotten here and its answer is in the queue of [`OutgoingQueue`].
+//! Several requests may be open on a connection at the same time. A request is open while it is
+//! received and while it waits for its answer. Then it is removed, and its answer moves to the
+//! [`OutgoingQueue`].
 
 use super::outgoing::{OutgoingAnswer, OutgoingQueue};
 use super::request::{Endpoint, Parameters};
@@ -14,39 +16,41 @@
 use crate::request_table::{Answer, ClientRequest, RequestKey};
 use std::collections::HashMap;
 
-/// The variable of GET_VALUES that asks whether connections are multiplexed (FastCGI 1.0, section
-/// 4.1).
-const MULTIPLEXES_CONNECTIONS: &str = "FCGI_MPXS_CONNS";
+/// Name of the GET_VALUES variable that asks whether the application multiplexes requests on a
+/// connection (FastCGI 1.0, section 4.1).
+const MULTIPLEXING_VARIABLE: &str = "FCGI_MPXS_CONNS";
 
-/// What a connection received. The first field of requests is the FastCGI request id.
+/// Event that results from received records. A `u16` in a variant is the FastCGI request id.
 #[derive(Debug, PartialEq)]
 pub enum SessionEvent {
-    /// A request: [`Session::request_admitted`] or an answer must follow.
+    /// A complete request. The caller has to call [`Session::request_admitted`] or answer it.
     Request(u16, ClientRequest),
-    /// The client no longer waits for the answer.
+    /// The client no longer waits for the answer to an admitted request.
     Abort(RequestKey),
-    /// The client no longer waits for a request that was not admitted yet.
+    /// The client no longer waits for the answer to a request that was not admitted.
     AbortUnadmitted(u16),
-    /// The question whether the proxy is ready: an answer must follow.
+    /// A health check, which asks whether the proxy is ready. The caller has to answer it.
     HealthCheck(u16),
 }
 
 impl SessionEvent {
-    /// Whether it wants an answer.
-    pub fn is_request(&self) -> bool {
-        self.stream().is_some()
+    /// Returns whether the caller has to answer the event.
+    pub fn requires_answer(&self) -> bool {
+        self.request_id().is_some()
     }
 
-    /// The stream of what wants an answer.
-    pub fn stream(&self) -> Option<u16> {
+    /// Returns the FastCGI request id if the caller has to answer the event, otherwise `None`.
+    pub fn request_id(&self) -> Option<u16> {
         match self {
-            SessionEvent::Request(stream, _) | SessionEvent::HealthCheck(stream) => Some(*stream),
+            SessionEvent::Request(request_id, _) | SessionEvent::HealthCheck(request_id) => {
+                Some(*request_id)
+            }
             SessionEvent::Abort(_) | SessionEvent::AbortUnadmitted(_) => None,
         }
     }
 }
 
-/// A request of which not all has been received.
+/// A request that is partially received.
 #[derive(Default)]
 struct PartialRequest {
     keep_connection: bool,
@@ -55,38 +59,39 @@
     body: Vec<u8>,
 }
 
-/// A request that was received whole.
+/// A complete request that waits for its answer.
 struct PendingRequest {
     keep_connection: bool,
-    /// Its key in the request table; none while it is not admitted.
+    /// Key in the request table, or `None` while the request is not admitted.
     request_key: Option<RequestKey>,
 }
 
-enum Stream {
+/// A request that is not answered yet.
+enum OpenRequest {
     Receiving(PartialRequest),
     AwaitingAnswer(PendingRequest),
 }
 
-/// One connection of a web server.
+/// Session of a web server's connection.
 #[derive(Default)]
 pub struct Session {
     records: RecordParser,
-    /// The open requests, by their FastCGI request ids.
-    streams: HashMap<u16, Stream>,
+    /// Open requests by their FastCGI request ids.
+    open_requests: HashMap<u16, OpenRequest>,
     outgoing: OutgoingQueue,
     has_received_request: bool,
 }
 
 impl ClientSession for Session {
     fn is_idle(&self) -> bool {
-        self.streams.is_empty() && self.outgoing.is_empty()
+        self.open_requests.is_empty() && self.outgoing.is_empty()
     }
 
     fn is_busy(&self) -> bool {
-        !self.outgoing.is_empty() || self.unanswered() > 0
+        !self.outgoing.is_empty() || self.unanswered_requests() > 0
     }
 
-    fn unanswered(&self) -> usize {
+    fn unanswered_requests(&self) -> usize {
         self.pending_requests().count()
     }
 
@@ -110,19 +115,25 @@
 }
 
 impl Session {
-    /// Bytes held of partially received requests.
+    /// Returns the number of buffered bytes of partially received requests.
     pub fn partial_request_bytes(&self) -> usize {
         self.partial_requests()
             .map(|request| request.parameters.len() + request.body.len())
             .sum()
     }
 
-    /// Bytes of answers that wait to be written.
+    /// Returns the number of bytes of answers that are not yet written.
     pub fn unsent_bytes(&self) -> usize {
         self.outgoing.unsent_bytes()
     }
 
-    /// Reads from the input buffer up to the next event. An error ends the connection.
+    /// Consumes the input buffer up to the next event. Returns `None` if the buffered input results
+    /// in no further event.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol or exceeds a limit. The connection then
+    /// has to be closed.
     pub fn read(
         &mut self,
         input: &mut RingBuffer,
@@ -141,56 +152,62 @@
         Ok(None)
     }
 
-    /// The request table has admitted a request.
-    pub fn request_admitted(&mut self, id: u16, request_key: RequestKey) {
-        if let Some(Stream::AwaitingAnswer(request)) = self.streams.get_mut(&id) {
+    /// Records that the request table has admitted a request.
+    pub fn request_admitted(&mut self, request_id: u16, request_key: RequestKey) {
+        if let Some(OpenRequest::AwaitingAnswer(request)) = self.open_requests.get_mut(&request_id)
+        {
             request.request_key = Some(request_key);
         }
     }
 
-    /// The final answer to a request. One that its client aborted gets none.
-    pub fn respond(&mut self, id: u16, answer: &Answer) {
-        self.finish_request(id, response::cgi_response(answer));
+    /// Queues the final answer to a request. Does nothing if the client has aborted the request.
+    pub fn respond(&mut self, request_id: u16, answer: &Answer) {
+        self.finish_request(request_id, response::cgi_response(answer));
     }
 
-    /// Rejects the requests that are partially received. The rest of them is skipped.
+    /// Rejects the requests that are partially received. Their remaining records are ignored.
     pub fn reject_partial_requests(&mut self) {
         let mut rejected = Vec::new();
-        self.streams.retain(|id, stream| match stream {
-            Stream::Receiving(request) => {
-                rejected.push((*id, request.keep_connection));
-                false
-            }
-            Stream::AwaitingAnswer(_) => true,
-        });
+        self.open_requests
+            .retain(|request_id, request| match request {
+                OpenRequest::Receiving(request) => {
+                    rejected.push((*request_id, request.keep_connection));
+                    false
+                }
+                OpenRequest::AwaitingAnswer(_) => true,
+            });
         rejected.sort_unstable();
-        for (id, keep_connection) in rejected {
-            self.end_without_response(id, wire::OVERLOADED, keep_connection);
+        for (request_id, keep_connection) in rejected {
+            self.end_without_response(request_id, wire::OVERLOADED, keep_connection);
         }
     }
 
-    /// An answer that has a status and nothing else, as in "200 OK".
-    pub fn respond_with_status(&mut self, id: u16, status: &str) {
-        self.finish_request(id, response::status_only(status));
+    /// Queues an answer that has only a status, as in `200 OK`.
+    pub fn respond_with_status(&mut self, request_id: u16, status: &str) {
+        self.finish_request(request_id, response::status_only(status));
     }
 
-    /// Moves as much of the answers as fits into the output buffer.
+    /// Writes as much of the queued answers as fits into the output buffer.
     pub fn write(&mut self, output: &mut RingBuffer) {
         self.outgoing.write(output);
     }
 
     fn pending_requests(&self) -> impl Iterator<Item = &PendingRequest> {
-        self.streams.values().filter_map(|stream| match stream {
-            Stream::AwaitingAnswer(request) => Some(request),
-            Stream::Receiving(_) => None,
-        })
+        self.open_requests
+            .values()
+            .filter_map(|request| match request {
+                OpenRequest::AwaitingAnswer(request) => Some(request),
+                OpenRequest::Receiving(_) => None,
+            })
     }
 
     fn partial_requests(&self) -> impl Iterator<Item = &PartialRequest> {
-        self.streams.values().filter_map(|stream| match stream {
-            Stream::Receiving(request) => Some(request),
-            Stream::AwaitingAnswer(_) => None,
-        })
+        self.open_requests
+            .values()
+            .filter_map(|request| match request {
+                OpenRequest::Receiving(request) => Some(request),
+                OpenRequest::AwaitingAnswer(_) => None,
+            })
     }
 
     fn handle_record(
@@ -198,10 +215,11 @@
         record: Record,
         limits: &Limits,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
-        // Usual clients wait for no more answers than they may have requests open.
+        // A well-behaved client waits for at most as many answers as it may have open requests, so
+        // its queue stays below this limit.
         if self.outgoing.len() >= limits.unsent_answers_per_client {
             return Err(ProtocolError::TooLong(
-                "the queue of answers that a client does not read",
+                "the queue of answers that the client does not read",
             ));
         }
         if record.request_id == wire::NULL_REQUEST_ID {
@@ -213,48 +231,50 @@
             record_type::ABORT_REQUEST => return Ok(self.abort_request(record.request_id)),
             record_type::PARAMS => self.receive_parameters(&record, limits)?,
             record_type::STDIN => return self.receive_body(&record, limits),
-            // Streams that are not used here.
+            // Record types that the Responder role does not use.
             _ => {}
         }
         Ok(None)
     }
 
-    /// Answers GET_VALUES, and any other management record as one of an unknown type.
+    /// Answers a management record. All types except GET_VALUES are answered as unknown.
     fn answer_management(&mut self, record: &Record) -> Result<(), ProtocolError> {
         if record.record_type != record_type::GET_VALUES {
             let content = [record.record_type, 0, 0, 0, 0, 0, 0, 0];
             self.outgoing
-                .push_management(record_type::UNKNOWN_TYPE, &content);
+                .push_management_record(record_type::UNKNOWN_TYPE, &content);
             return Ok(());
         }
         let mut values = Vec::new();
         for (name, _) in wire::read_pairs(&record.content)? {
-            if name == MULTIPLEXES_CONNECTIONS {
+            if name == MULTIPLEXING_VARIABLE {
                 wire::write_pair(&mut values, &name, "1");
             }
         }
         self.outgoing
-            .push_management(record_type::GET_VALUES_RESULT, &values);
+            .push_management_record(record_type::GET_VALUES_RESULT, &values);
         Ok(())
     }
 
     fn begin_request(&mut self, record: &Record, limits: &Limits) -> Result<(), ProtocolError> {
-        if self.streams.contains_key(&record.request_id) {
-            return Err(ProtocolError::Malformed("a request id that is in use"));
+        if self.open_requests.contains_key(&record.request_id) {
+            return Err(ProtocolError::Malformed(
+                "a BEGIN_REQUEST record (its request id is already in use)",
+            ));
         }
         let begin = wire::read_begin_request(&record.content)?;
         let keep_connection = begin.flags & wire::KEEP_CONN != 0;
         if begin.role != wire::RESPONDER {
             self.end_without_response(record.request_id, wire::UNKNOWN_ROLE, keep_connection);
-        } else if self.streams.len() >= limits.requests_per_client {
+        } else if self.open_requests.len() >= limits.requests_per_client {
             self.end_without_response(record.request_id, wire::OVERLOADED, keep_connection);
         } else {
             let request = PartialRequest {
                 keep_connection,
                 ..PartialRequest::default()
             };
-            self.streams
-                .insert(record.request_id, Stream::Receiving(request));
+            self.open_requests
+                .insert(record.request_id, OpenRequest::Receiving(request));
         }
         Ok(())
     }
@@ -264,13 +284,16 @@
         record: &Record,
         limits: &Limits,
     ) -> Result<(), ProtocolError> {
-        // Records of requests that are over are skipped: they may have been sent before the answer
-        // arrived.
-        let Some(Stream::Receiving(request)) = self.streams.get_mut(&record.request_id) else {
+        // Records of a request that is already answered are ignored, because the client may have
+        // sent them before it received the answer.
+        let Some(OpenRequest::Receiving(request)) = self.open_requests.get_mut(&record.request_id)
+        else {
             return Ok(());
         };
         if request.parameters.len() + record.content.len() > limits.params_bytes {
-            return Err(ProtocolError::TooLong("a request's parameters"));
+            return Err(ProtocolError::TooLong(
+                "the parameter stream of a FastCGI request",
+            ));
         }
         request.parameters_complete = record.content.is_empty();
         request.parameters.extend_from_slice(&record.content);
@@ -282,14 +305,15 @@
         record: &Record,
         limits: &Limits,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
-        let Some(Stream::Receiving(request)) = self.streams.get_mut(&record.request_id) else {
+        let Some(OpenRequest::Receiving(request)) = self.open_requests.get_mut(&record.request_id)
+        else {
             return Ok(None);
         };
         if !request.parameters_complete {
             return Ok(None);
         }
         if request.body.len() + record.content.len() > limits.body_bytes {
-            return Err(ProtocolError::TooLong("a request's body"));
+            return Err(ProtocolError::TooLong("the body of a FastCGI request"));
         }
         request.body.extend_from_slice(&record.content);
         if !record.content.is_empty() {
@@ -299,10 +323,10 @@
         self.handle_request(record.request_id, request, limits)
     }
 
-    /// Handles a request that was received whole.
+    /// Handles a complete request. An invalid one is answered here and results in no event.
     fn handle_request(
         &mut self,
-        id: u16,
+        request_id: u16,
         request: PartialRequest,
         limits: &Limits,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
@@ -311,43 +335,47 @@
             keep_connection: request.keep_connection,
             request_key: None,
         };
-        self.streams.insert(id, Stream::AwaitingAnswer(pending));
+        self.open_requests
+            .insert(request_id, OpenRequest::AwaitingAnswer(pending));
         let parameters = Parameters::new(wire::read_pairs(&request.parameters)?);
         let endpoint = parameters.endpoint();
         if endpoint == Endpoint::HealthCheck {
-            return Ok(Some(SessionEvent::HealthCheck(id)));
+            return Ok(Some(SessionEvent::HealthCheck(request_id)));
         }
-        match parameters.client_request(request.body, limits) {
-            Ok(client_request) => Ok(Some(SessionEvent::Request(id, client_request))),
+        match parameters.build_client_request(request.body, limits) {
+            Ok(client_request) => Ok(Some(SessionEvent::Request(request_id, client_request))),
             Err(error) => {
-                log::info!("request rejected: {error}");
+                log::info!(
+                    "rejecting FastCGI request {request_id} with a client error status: {error}"
+                );
                 let status = match endpoint {
                     Endpoint::Invoke => "400 Bad Request",
                     _ => "404 Not Found",
                 };
-                self.respond_with_status(id, status);
+                self.respond_with_status(request_id, status);
                 Ok(None)
             }
         }
     }
 
-    /// Ends a request that its client no longer waits for; an event if the request table has it.
-    fn abort_request(&mut self, id: u16) -> Option<SessionEvent> {
-        let (keep_connection, request_key) = match self.streams.remove(&id)? {
-            Stream::Receiving(request) => (request.keep_connection, None),
-            Stream::AwaitingAnswer(request) => (request.keep_connection, request.request_key),
+    /// Ends a request for which the client no longer waits. Returns `None` if no request with this
+    /// id is open.
+    fn abort_request(&mut self, request_id: u16) -> Option<SessionEvent> {
+        let (keep_connection, request_key) = match self.open_requests.remove(&request_id)? {
+            OpenRequest::Receiving(request) => (request.keep_connection, None),
+            OpenRequest::AwaitingAnswer(request) => (request.keep_connection, request.request_key),
         };
-        self.end_without_response(id, wire::REQUEST_COMPLETE, keep_connection);
+        self.end_without_response(request_id, wire::REQUEST_COMPLETE, keep_connection);
         Some(match request_key {
             Some(request_key) => SessionEvent::Abort(request_key),
-            None => SessionEvent::AbortUnadmitted(id),
+            None => SessionEvent::AbortUnadmitted(request_id),
         })
     }
 
-    fn finish_request(&mut self, id: u16, response: Vec<u8>) {
-        if let Some(Stream::AwaitingAnswer(request)) = self.streams.remove(&id) {
+    fn finish_request(&mut self, request_id: u16, response: Vec<u8>) {
+        if let Some(OpenRequest::AwaitingAnswer(request)) = self.open_requests.remove(&request_id) {
             self.outgoing.push_answer(OutgoingAnswer {
-                request_id: id,
+                request_id,
                 response,
                 protocol_status: wire::REQUEST_COMPLETE,
                 keep_connection: request.keep_connection,
@@ -355,9 +383,14 @@
         }
     }
 
-    fn end_without_response(&mut self, id: u16, protocol_status: u8, keep_connection: bool) {
+    fn end_without_response(
+        &mut self,
+        request_id: u16,
+        protocol_status: u8,
+        keep_connection: bool,
+    ) {
         self.outgoing.push_answer(OutgoingAnswer {
-            request_id: id,
+            request_id,
             response: Vec::new(),
             protocol_status,
             keep_connection,
--- a/crates/proxy/src/frontend/interconnect/session.rs
+++ b/crates/proxy/src/frontend/interconnect/session.rs
@@ -69,7 +69,7 @@
         !self.is_idle()
     }
 
-    fn unanswered(&self) -> usize {
+    fn unanswered_requests(&self) -> usize {
         usize::from(self.pending_request.is_some())
     }
 
