--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -7,7 +7,7 @@
 pub use error::ConfigError;
 
 use crate::discovery::event_bus::{read_event, EventBusMessage};
-use crate::frontend::interconnect::footprint::Network;
+use crate::frontend::interconnect::footprint::Ipv4Network;
 use crate::frontend::interconnect::{Identity, PeerCdn, ServedClass};
 use crate::limits::Limits;
 use crate::sys;
@@ -310,12 +310,12 @@
     }))
 }
 
-fn footprint(networks: &[String]) -> Result<Vec<Network>, ConfigError> {
+fn footprint(networks: &[String]) -> Result<Vec<Ipv4Network>, ConfigError> {
     networks
         .iter()
         .enumerate()
         .map(|(index, text)| {
-            Network::read(text).ok_or_else(|| ConfigError::Invalid {
+            Ipv4Network::parse(text).ok_or_else(|| ConfigError::Invalid {
                 key: format!("cdni.footprint[{index}]"),
                 expected: "an IPv4 network, such as 127.0.0.0/8",
             })
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -99,11 +99,11 @@
             all_durable &= self.apply_effect(now, effect);
         }
         match handled.reply {
-            InterconnectReply::Now(response) => {
+            InterconnectReply::Respond(response) => {
                 let response = if all_durable {
                     response
                 } else {
-                    Response::bare(503)
+                    Response::without_body(503)
                 };
                 if let Some((_, session)) = self.connections.interconnect_client_mut(key) {
                     session.respond(&response);
@@ -117,7 +117,7 @@
         let Some((_, session)) = self.connections.interconnect_client_mut(key) else {
             return;
         };
-        session.deadline = now + request.remaining_us;
+        session.client_deadline = now + request.remaining_us;
         let target = ResponseTarget {
             connection: key,
             stream: SINGLE_STREAM,
@@ -131,12 +131,12 @@
             return;
         };
         if request_key.is_some() {
-            session.pending_request = request_key;
+            session.pending_request_key = request_key;
         } else {
             let rejected = Answer::Rejected {
                 retry_after_us: Some(self.limits.retry_after_us),
             };
-            session.respond(&frontend::response(rejected, false));
+            session.respond(&frontend::response_to_answer(rejected, false));
         }
     }
 
@@ -172,8 +172,8 @@
         let Some((_, session)) = self.connections.interconnect_client_mut(key) else {
             return;
         };
-        let is_late = now + self.limits.answer_lead_us >= session.deadline;
-        session.respond(&frontend::response(answer, is_late));
+        let is_late = now + self.limits.answer_lead_us >= session.client_deadline;
+        session.respond(&frontend::response_to_answer(answer, is_late));
         // The next request may already have arrived. A timer resumes reading, rather than a call
         // from here, so that many requests sent at once cannot cause deep recursion.
         self.timers
--- a/crates/proxy/src/event_loop/notifications.rs
+++ b/crates/proxy/src/event_loop/notifications.rs
@@ -4,7 +4,7 @@
 use super::interconnect::Interconnect;
 use super::timer::TimerEvent;
 use super::EventLoop;
-use crate::frontend::interconnect::{Notification, MEDIA};
+use crate::frontend::interconnect::{Notification, CDNI_MEDIA_TYPE_PREFIX};
 use crate::limits::Limits;
 use crate::protocol::http::{self, MessageParser, Piece};
 use crate::protocol::{Parser, ProtocolError};
@@ -39,7 +39,7 @@
     /// Returns the HTTP request that carries the notification.
     pub(super) fn request(&self) -> Vec<u8> {
         let host = self.notification.address.to_string();
-        let content_type = format!("{MEDIA}{}", self.notification.ptype);
+        let content_type = format!("{CDNI_MEDIA_TYPE_PREFIX}{}", self.notification.payload_type);
         let headers = [
             ("Host", host.as_str()),
             ("Content-Type", content_type.as_str()),
@@ -105,7 +105,7 @@
         let Some(interconnect) = &self.interconnect else {
             return;
         };
-        let notifications = interconnect.frontend.purge_triggers(object, group);
+        let notifications = interconnect.frontend.purge_commands(object, group);
         for notification in notifications {
             self.queue_notification(now, notification);
         }
--- a/crates/proxy/src/event_loop/notifications/tests.rs
+++ b/crates/proxy/src/event_loop/notifications/tests.rs
@@ -5,7 +5,7 @@
     let notification = Notification {
         address: ([127, 0, 0, 1], 9).into(),
         path: "/t".into(),
-        ptype: "x",
+        payload_type: "x",
         body: "{}".into(),
     };
     let mut delivery = NotificationDelivery::new(notification, MessageParser::responses(512, 512));
--- a/crates/proxy/src/frontend/fastcgi/response.rs
+++ b/crates/proxy/src/frontend/fastcgi/response.rs
@@ -43,7 +43,7 @@
     without_body("503 Service Unavailable", &back_off)
 }
 
-/// Returns a response with an empty body. `headers` consists of complete lines with their line ends.
+/// Returns a response with an empty body. `headers` consists of complete lines with line ends.
 fn without_body(status: &str, headers: &str) -> Vec<u8> {
     format!("Status: {status}\r\n{headers}Content-Length: 0\r\n\r\n").into_bytes()
 }
--- a/crates/proxy/src/frontend/fastcgi/session.rs
+++ b/crates/proxy/src/frontend/fastcgi/session.rs
@@ -323,7 +323,7 @@
         self.handle_request(record.request_id, request, limits)
     }
 
-    /// Handles a complete request. An invalid one is answered here and results in no event.
+    /// Handles a complete request. Answers an invalid one with an error status and returns `None`.
     fn handle_request(
         &mut self,
         request_id: u16,
--- a/crates/proxy/src/frontend/interconnect/content.rs
+++ b/crates/proxy/src/frontend/interconnect/content.rs
@@ -1,32 +1,33 @@
-//! Requests for content: URLs `/content/CLASS/OBJECT/PART?kb=SIZE&lot=GROUP`, where the part and
-//! the query may be absent.
+//! Requests for content. Their URLs have the form
+//! `/content/CLASS/OBJECT/PART?kb=SIZE&lot=GROUP`, where the part and the query are optional.
 
 use super::Identity;
 use crate::protocol::http::Head;
 use crate::request_table::ClientRequest;
 
 const CONTENT_PREFIX: &str = "/content/";
-/// Digits of an object's key.
-const OBJECT_DIGITS: usize = 16;
-/// An odd multiplier, by which consecutive numbers become ids that never repeat before 2^64 of them
-/// (the golden ratio's fraction, which spreads them well).
+/// Number of hexadecimal digits in the key of an object.
+const OBJECT_KEY_DIGITS: usize = 16;
+/// Multiplier that maps consecutive numbers to request ids. Because it is odd, ids repeat only
+/// after 2^64 requests. It is 2^64 divided by the golden ratio, which spreads the ids evenly.
 const ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What the path of a content URL names.
+/// The content that the path of a URL names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentPath<'a> {
-    /// The name of the class.
+    /// Name of the class.
     pub class: &'a str,
-    /// The object: 16 hexadecimal digits in lower case.
+    /// Key of the object, 16 hexadecimal digits in lower case.
     pub object: &'a str,
-    /// The part of the object, 0 if the path names none.
+    /// Part of the object, or 0 if the path names none.
     pub part: u64,
 }
 
 impl<'a> ContentPath<'a> {
-    /// Reads the path of a URL, which may be absolute and have a query.
-    pub fn read(url: &'a str) -> Option<Self> {
-        let path = url_path(url).split('?').next()?;
+    /// Parses a URL, which may be absolute and may have a query. Returns `None` if its path names
+    /// no content.
+    pub fn parse(url: &'a str) -> Option<Self> {
+        let path = path_and_query(url).split('?').next()?;
         let mut segments = path.strip_prefix(CONTENT_PREFIX)?.split('/');
         let class = segments.next()?;
         let object = segments.next()?;
@@ -43,8 +44,8 @@
     }
 }
 
-/// The path and query of a URL, absolute or not.
-pub(super) fn url_path(url: &str) -> &str {
+/// Returns the path and the query of a URL, which may be absolute.
+pub(super) fn path_and_query(url: &str) -> &str {
     let authority_and_path = url
         .strip_prefix("http://")
         .or_else(|| url.strip_prefix("https://"));
@@ -56,7 +57,7 @@
 
 fn is_object_key(text: &str) -> bool {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
-    text.len() == OBJECT_DIGITS && text.bytes().all(is_digit)
+    text.len() == OBJECT_KEY_DIGITS && text.bytes().all(is_digit)
 }
 
 fn is_class_name(text: &str) -> bool {
@@ -64,46 +65,49 @@
     !text.is_empty() && text.bytes().all(allowed)
 }
 
-/// Numbers the requests for content and gives each an id: 16 hexadecimal digits, as all others
-/// have.
+/// Generates ids for requests for content. The ids have 16 hexadecimal digits, like the ids that
+/// FastCGI clients send.
 pub(super) struct RequestIds {
     seed: u64,
-    issued: u64,
+    issued_ids: u64,
 }
 
 impl RequestIds {
     pub(super) fn new(seed: u64) -> Self {
-        RequestIds { seed, issued: 0 }
+        RequestIds {
+            seed,
+            issued_ids: 0,
+        }
     }
 
-    fn next(&mut self) -> String {
-        self.issued += 1;
-        let offset = self.issued.wrapping_mul(ID_MULTIPLIER);
+    fn next_id(&mut self) -> String {
+        self.issued_ids += 1;
+        let offset = self.issued_ids.wrapping_mul(ID_MULTIPLIER);
         format!("{:016x}", self.seed.wrapping_add(offset))
     }
 }
 
-/// The client request for a content URL; none if it names no content of this network.
+/// Returns the client request for a content URL, or `None` if the URL names no content of this CDN.
 ///
-/// Parts of the query and tags that can't be used count as absent: clients were redirected here
-/// with a URL that another network wrote.
+/// Invalid values in the query and invalid tags are ignored rather than rejected, because another
+/// CDN wrote the URL to which it redirected the client.
 pub(super) fn client_request(
     identity: &Identity,
     ids: &mut RequestIds,
     head: &Head,
     target: &str,
 ) -> Option<ClientRequest> {
-    let content = ContentPath::read(target)?;
-    let remaining_us = identity.client_timeout(content.class)?;
+    let content = ContentPath::parse(target)?;
+    let remaining_us = identity.client_timeout_us(content.class)?;
     Some(ClientRequest {
-        id: ids.next(),
+        id: ids.next_id(),
         class: content.class.to_owned(),
         object: content.object.to_owned(),
         part: content.part,
         group: group(target),
         size_kb: size_kb(target),
         remaining_us,
-        client_copy_tag: held_tag(head),
+        client_copy_tag: client_copy_tag(head),
         ..ClientRequest::default()
     })
 }
@@ -128,9 +132,9 @@
         .unwrap_or(0.0)
 }
 
-/// The tag of the copy that the client holds (RFC 9110, section 13.1.2). Weak tags are compared as
-/// strong ones.
-fn held_tag(head: &Head) -> Option<String> {
+/// Returns the tag of the copy that the client holds, from the `If-None-Match` header (RFC 9110,
+/// section 13.1.2). Weak tags are treated as strong tags.
+fn client_copy_tag(head: &Head) -> Option<String> {
     let tag = head
         .header("if-none-match")?
         .trim_start_matches("W/")
--- a/crates/proxy/src/frontend/interconnect/footprint.rs
+++ b/crates/proxy/src/frontend/interconnect/footprint.rs
@@ -1,77 +1,85 @@
-//! Footprint and Capabilities Interface (RFC 8008): which clients a network serves, and how.
+//! Footprint and Capabilities Interface (RFC 8008): which clients a CDN serves, and how.
 
 use super::{Identity, Notification, Response};
 use serde_json::{json, Value};
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// The type of an advertisement payload. RFC 8008 leaves the transport open, and with it this name.
-pub const PTYPE: &str = "fci-advertisement";
+/// Payload type of an advertisement. RFC 8008 does not specify how advertisements are transported,
+/// and therefore does not specify this name either.
+pub const PAYLOAD_TYPE: &str = "fci-advertisement";
 
-/// The capability to deliver by a protocol (RFC 8008, "Delivery Protocol Capability Object").
+/// Capability to deliver content over a protocol (RFC 8008, "Delivery Protocol Capability Object").
 const DELIVERY_PROTOCOL: &str = "FCI.DeliveryProtocol";
-/// The capability to redirect in a way (RFC 8008, "Redirection Mode Capability Object").
+/// Capability to redirect clients in a certain mode (RFC 8008, "Redirection Mode Capability
+/// Object").
 const REDIRECTION_MODE: &str = "FCI.RedirectionMode";
-/// The only protocol by which content is delivered here.
+/// The only protocol over which this CDN delivers content.
 const HTTP_1_1: &str = "http/1.1";
-/// The only type of footprint that is known here: IPv4 networks (RFC 8006).
+/// The only supported footprint type, which is a list of IPv4 networks (RFC 8006).
 const IPV4_CIDR: &str = "ipv4cidr";
 
 /// An IPv4 network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Network {
+pub struct Ipv4Network {
     address: u32,
     prefix_length: u8,
 }
 
-impl Network {
-    /// Reads `a.b.c.d/n`.
-    pub fn read(text: &str) -> Option<Self> {
+impl Ipv4Network {
+    /// Parses a network in the form `a.b.c.d/n`. Returns `None` if the text is invalid.
+    pub fn parse(text: &str) -> Option<Self> {
         let (address, prefix_length) = text.split_once('/')?;
         let prefix_length = prefix_length.parse().ok().filter(|length| *length <= 32)?;
-        Some(Network {
+        Some(Ipv4Network {
             address: address.parse::<Ipv4Addr>().ok()?.into(),
             prefix_length,
         })
     }
 
-    /// Whether an address lies in the network.
+    /// Returns whether an address is in the network.
     pub fn contains(&self, address: Ipv4Addr) -> bool {
         let host_bits = 32 - u32::from(self.prefix_length);
-        // A shift by all 32 bits, for the network of all addresses, has no result.
+        // For prefix length 0 the shift by 32 bits overflows. The mask is then 0, so that the
+        // network contains all addresses.
         let mask = u32::MAX.checked_shl(host_bits).unwrap_or(0);
         (u32::from(address) ^ self.address) & mask == 0
     }
 }
 
-impl fmt::Display for Network {
+impl fmt::Display for Ipv4Network {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", Ipv4Addr::from(self.address), self.prefix_length)
     }
 }
 
-/// What a peer has advertised.
+/// The footprint that a peer CDN has advertised.
 pub(super) struct PeerFootprint {
-    /// Its CDN Provider ID.
+    /// CDN Provider ID of the peer CDN.
     pub provider: String,
-    /// The networks whose clients it serves by HTTP.
-    pub networks: Vec<Network>,
+    /// Networks whose clients it serves over HTTP.
+    pub networks: Vec<Ipv4Network>,
 }
 
-/// The first of the networks that an address lies in.
-pub(super) fn network_of(networks: &[Network], address: Ipv4Addr) -> Option<Network> {
+/// Returns the first network that contains an address, or `None` if there is none.
+pub(super) fn find_network(networks: &[Ipv4Network], address: Ipv4Addr) -> Option<Ipv4Network> {
     networks
         .iter()
         .find(|network| network.contains(address))
         .copied()
 }
 
-/// Our advertisement: no capabilities while content can't be served.
-fn advertisement(identity: &Identity, ready: bool) -> Value {
-    if !ready {
+/// Returns the advertisement of this CDN. It lists no capabilities while the proxy cannot serve
+/// content.
+fn advertisement(identity: &Identity, is_ready: bool) -> Value {
+    if !is_ready {
         return json!({"capabilities": []});
     }
-    let networks: Vec<_> = identity.footprint.iter().map(Network::to_string).collect();
+    let networks: Vec<_> = identity
+        .footprint
+        .iter()
+        .map(Ipv4Network::to_string)
+        .collect();
     let footprints = json!([{"footprint-type": IPV4_CIDR, "footprint-value": networks}]);
     json!({"capabilities": [
         {
@@ -87,26 +95,29 @@
     ]})
 }
 
-/// Our advertisement for the peer that asks for it.
-pub(super) fn advertisement_response(identity: &Identity, ready: bool) -> Response {
-    Response::payload(200, PTYPE, &advertisement(identity, ready))
+/// Returns the response to a peer CDN that requests the advertisement of this CDN.
+pub(super) fn advertisement_response(identity: &Identity, is_ready: bool) -> Response {
+    Response::payload(200, PAYLOAD_TYPE, &advertisement(identity, is_ready))
 }
 
-/// Our advertisement for every peer.
-pub(super) fn advertisements(identity: &Identity, ready: bool) -> Vec<Notification> {
-    let body = advertisement(identity, ready).to_string();
+/// Returns notifications that carry the advertisement of this CDN to every peer CDN.
+pub(super) fn advertisement_notifications(
+    identity: &Identity,
+    is_ready: bool,
+) -> Vec<Notification> {
+    let body = advertisement(identity, is_ready).to_string();
     let notifications = identity.peers.iter().map(|peer| Notification {
         address: peer.address,
         path: peer.advertisement_path.clone(),
-        ptype: PTYPE,
+        payload_type: PAYLOAD_TYPE,
         body: body.clone(),
     });
     notifications.collect()
 }
 
-/// The networks whose clients a peer serves by HTTP, by its advertisement; none if that is
-/// malformed. Footprints of types that are not known here reach no client.
-pub(super) fn read_advertisement(payload: &Value) -> Option<Vec<Network>> {
+/// Returns the networks whose clients a peer CDN serves over HTTP according to its advertisement,
+/// or `None` if the advertisement is malformed. Footprints of unsupported types are ignored.
+pub(super) fn parse_advertisement(payload: &Value) -> Option<Vec<Ipv4Network>> {
     let mut networks = Vec::new();
     for capability in payload["capabilities"].as_array()? {
         if !delivers_by_http(capability)? {
@@ -115,14 +126,14 @@
         let footprints = capability["footprints"].as_array();
         for footprint in footprints.into_iter().flatten() {
             if footprint["footprint-type"] == IPV4_CIDR {
-                read_networks(&footprint["footprint-value"], &mut networks)?;
+                parse_networks(&footprint["footprint-value"], &mut networks)?;
             }
         }
     }
     Some(networks)
 }
 
-/// Whether a capability is the delivery by HTTP/1.1; none if it is malformed.
+/// Returns whether a capability is the delivery over HTTP/1.1, or `None` if it is malformed.
 fn delivers_by_http(capability: &Value) -> Option<bool> {
     if capability["capability-type"].as_str()? != DELIVERY_PROTOCOL {
         return Some(false);
@@ -131,9 +142,9 @@
     Some(protocols.iter().any(|protocol| protocol == HTTP_1_1))
 }
 
-fn read_networks(values: &Value, networks: &mut Vec<Network>) -> Option<()> {
+fn parse_networks(values: &Value, networks: &mut Vec<Ipv4Network>) -> Option<()> {
     for value in values.as_array()? {
-        networks.push(Network::read(value.as_str()?)?);
+        networks.push(Ipv4Network::parse(value.as_str()?)?);
     }
     Some(())
 }
--- a/crates/proxy/src/frontend/interconnect/frontend.rs
+++ b/crates/proxy/src/frontend/interconnect/frontend.rs
@@ -1,6 +1,6 @@
-//! The state of the interconnection, and what a message leads to.
+//! The state of the interconnection, and the handling of messages.
 
-use super::content::{self, url_path, RequestIds};
+use super::content::{self, path_and_query, RequestIds};
 use super::footprint::{self, PeerFootprint};
 use super::route::Route;
 use super::triggers::{self, Command, TriggerResources};
@@ -12,30 +12,31 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// What follows from a message besides its response.
+/// An effect that a request has besides its response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// An object, or with none a whole group, is purged as of now.
+    /// Purges the copies of an object that were made until now. Without an object it purges the
+    /// whole purge group.
     Purge(Option<String>, u64),
-    /// A payload goes to a peer.
+    /// Sends a notification to a peer CDN.
     Notify(Notification),
 }
 
-/// What is to be done with a request.
+/// How a request is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InterconnectReply {
-    /// Respond at once.
-    Now(Response),
-    /// Admit the request to the request table.
+    /// Send this response at once.
+    Respond(Response),
+    /// Admit this request to the request table, which answers it later.
     Admit(ClientRequest),
 }
 
-/// What a request leads to.
+/// Result of handling a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandledRequest {
-    /// How it is answered.
+    /// How the request is answered.
     pub reply: InterconnectReply,
-    /// What follows besides, in order.
+    /// Further effects, in the order in which they have to be applied.
     pub effects: Vec<Effect>,
 }
 
@@ -52,13 +53,14 @@
 pub struct InterconnectFrontend {
     identity: Identity,
     triggers: TriggerResources,
-    /// The last advertisement of each peer, the latest at the end.
+    /// Last advertisement of each peer CDN, with the most recent one at the end.
     peer_footprints: Vec<PeerFootprint>,
     request_ids: RequestIds,
 }
 
 impl InterconnectFrontend {
-    /// An interconnection that keeps at most `trigger_limit` trigger status resources.
+    /// Creates a frontend that keeps at most `trigger_limit` trigger status resources. `seed`
+    /// determines the generated request ids.
     pub fn new(identity: Identity, seed: u64, trigger_limit: usize) -> Self {
         InterconnectFrontend {
             identity,
@@ -68,25 +70,26 @@
         }
     }
 
-    /// Handles a request. `ready` tells whether content can be served, `purge_capacity` how many
-    /// more purges can be remembered, and `now` is Unix time in microseconds.
+    /// Handles a request. `now` is the Unix time in microseconds. `is_ready` states whether the
+    /// proxy can serve content. `purge_capacity` is the number of further purges that can be
+    /// stored.
     pub fn handle(
         &mut self,
         now: Micros,
-        ready: bool,
+        is_ready: bool,
         purge_capacity: usize,
         message: &Message,
     ) -> HandledRequest {
         let Message { head, body } = message;
         let Some((method, target)) = head.method_and_target() else {
-            return respond(Response::bare(400));
+            return respond(Response::without_body(400));
         };
-        let path = url_path(target).split('?').next().unwrap_or("");
+        let path = path_and_query(target).split('?').next().unwrap_or("");
         let json = || serde_json::from_slice::<Value>(body).ok();
         let identity = &self.identity;
-        respond(match Route::of(method, path) {
-            Route::Health if ready => Response::bare(200),
-            Route::Health => Response::bare(503),
+        respond(match Route::for_request(method, path) {
+            Route::Health if is_ready => Response::without_body(200),
+            Route::Health => Response::without_body(503),
             Route::Content => return self.handle_content(head, target),
             Route::TriggerCommand => {
                 return self.handle_trigger_command(now, purge_capacity, json().as_ref())
@@ -95,31 +98,32 @@
             Route::TriggerStatus(name) => self.triggers.status(identity, name),
             Route::TriggerDeletion(name) => self.triggers.delete(name),
             Route::Redirection => {
-                redirect::respond(identity, &self.peer_footprints, ready, json().as_ref())
+                redirect::respond(identity, &self.peer_footprints, is_ready, json().as_ref())
             }
-            Route::FootprintAdvertisement => footprint::advertisement_response(identity, ready),
+            Route::FootprintAdvertisement => footprint::advertisement_response(identity, is_ready),
             Route::PeerAdvertisement(provider) => {
                 self.receive_advertisement(provider, json().as_ref())
             }
-            Route::MethodNotAllowed => Response::bare(405),
-            Route::NotFound => Response::bare(404),
+            Route::MethodNotAllowed => Response::without_body(405),
+            Route::NotFound => Response::without_body(404),
         })
     }
 
-    /// Our footprint advertisement, for every peer.
-    pub fn footprint_advertisements(&self, ready: bool) -> Vec<Notification> {
-        footprint::advertisements(&self.identity, ready)
+    /// Returns notifications that carry the footprint advertisement of this CDN to every peer CDN.
+    pub fn footprint_advertisements(&self, is_ready: bool) -> Vec<Notification> {
+        footprint::advertisement_notifications(&self.identity, is_ready)
     }
 
-    /// Trigger commands for every peer, for a purge that none of them has triggered.
-    pub fn purge_triggers(&self, object: Option<&str>, group: u64) -> Vec<Notification> {
+    /// Returns notifications that carry trigger commands to every peer CDN, for a purge that did
+    /// not come from a peer CDN.
+    pub fn purge_commands(&self, object: Option<&str>, group: u64) -> Vec<Notification> {
         triggers::purge_commands(&self.identity, object, group)
     }
 
     fn handle_content(&mut self, head: &Head, target: &str) -> HandledRequest {
         match content::client_request(&self.identity, &mut self.request_ids, head, target) {
             Some(request) => HandledRequest::from(InterconnectReply::Admit(request)),
-            None => respond(Response::bare(404)),
+            None => respond(Response::without_body(404)),
         }
     }
 
@@ -130,7 +134,7 @@
         payload: Option<&Value>,
     ) -> HandledRequest {
         let Some(payload) = payload else {
-            return respond(Response::bare(400));
+            return respond(Response::without_body(400));
         };
         let outcome = self.triggers.execute(Command {
             identity: &self.identity,
@@ -139,18 +143,18 @@
             payload,
         });
         HandledRequest {
-            reply: InterconnectReply::Now(outcome.response),
+            reply: InterconnectReply::Respond(outcome.response),
             effects: outcome.effects,
         }
     }
 
-    /// A peer advertises its footprint.
+    /// Stores the advertisement of a peer CDN in place of its previous one.
     fn receive_advertisement(&mut self, provider: &str, payload: Option<&Value>) -> Response {
         if self.identity.peer(provider).is_none() {
-            return Response::bare(403);
+            return Response::without_body(403);
         }
-        let Some(networks) = payload.and_then(footprint::read_advertisement) else {
-            return Response::bare(400);
+        let Some(networks) = payload.and_then(footprint::parse_advertisement) else {
+            return Response::without_body(400);
         };
         self.peer_footprints
             .retain(|known| known.provider != provider);
@@ -158,10 +162,10 @@
             provider: provider.to_owned(),
             networks,
         });
-        Response::bare(204)
+        Response::without_body(204)
     }
 }
 
 fn respond(response: Response) -> HandledRequest {
-    HandledRequest::from(InterconnectReply::Now(response))
+    HandledRequest::from(InterconnectReply::Respond(response))
 }
--- a/crates/proxy/src/frontend/interconnect/identity.rs
+++ b/crates/proxy/src/frontend/interconnect/identity.rs
@@ -1,69 +1,71 @@
-//! This network and its peers, as the configuration names them.
+//! This CDN and its peer CDNs, as configured.
 
-use super::footprint::Network;
+use super::footprint::Ipv4Network;
 use edge_routing::Micros;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A peer CDN: uCDN or dCDN of this network.
+/// A peer CDN, which is a uCDN or a dCDN of this CDN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerCdn {
-    /// Its CDN Provider ID (RFC 8006).
+    /// CDN Provider ID of the peer CDN (RFC 8006).
     pub provider: String,
-    /// Where it listens.
+    /// Address at which the peer CDN listens.
     pub address: SocketAddr,
-    /// The path of its trigger interface.
+    /// Path of its trigger interface.
     pub trigger_path: String,
-    /// The path at which it receives our footprint advertisements.
+    /// Path at which it receives the footprint advertisements of this CDN.
     pub advertisement_path: String,
-    /// The base of its content's URLs, for clients in its footprint.
+    /// Base of the URLs to which clients in its footprint are redirected.
     pub content_base_url: String,
 }
 
-/// A class whose objects may be requested over the interconnect.
+/// A class whose objects may be requested through the interconnection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServedClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// When clients of its requests give up, in microseconds.
+    /// Time that clients wait for the complete answer to a request.
     pub client_timeout_us: Micros,
 }
 
-/// How this network presents itself.
+/// Identity of this CDN in the interconnection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// Our CDN Provider ID (RFC 8006).
+    /// CDN Provider ID of this CDN (RFC 8006).
     pub provider: String,
-    /// The base of our URLs.
+    /// Base of the URLs of this CDN.
     pub base_url: String,
-    /// The footprint: the networks whose clients we serve.
-    pub footprint: Vec<Network>,
-    /// The peers that we exchange messages with.
+    /// Footprint of this CDN, which consists of the networks whose clients it serves.
+    pub footprint: Vec<Ipv4Network>,
+    /// Peer CDNs with which this CDN exchanges messages.
     pub peers: Vec<PeerCdn>,
-    /// The classes whose objects may be requested here.
+    /// Classes whose objects peer CDNs and their clients may request.
     pub classes: Vec<ServedClass>,
 }
 
 impl Identity {
-    /// The peer of a CDN Provider ID.
+    /// Returns the peer CDN with this CDN Provider ID.
     pub(super) fn peer(&self, provider: &str) -> Option<&PeerCdn> {
         self.peers.iter().find(|peer| peer.provider == provider)
     }
 
-    /// How long clients wait for objects of a class; none if its objects may not be requested here.
-    pub(super) fn client_timeout(&self, class: &str) -> Option<Micros> {
+    /// Returns the time that clients wait for objects of a class, or `None` if its objects may not
+    /// be requested through the interconnection.
+    pub(super) fn client_timeout_us(&self, class: &str) -> Option<Micros> {
         let served = self.classes.iter().find(|served| served.name == class)?;
         Some(served.client_timeout_us)
     }
 
-    /// Loop detection: whether a message has come through this network before (RFC 8007, section
-    /// 4.6).
+    /// Returns whether a message has already passed through this CDN, which means that it is in a
+    /// loop (RFC 8007, section 4.6).
     pub(super) fn is_loop(&self, cdn_path: &[Value]) -> bool {
-        has_passed(cdn_path, &self.provider)
+        cdn_path_contains(cdn_path, &self.provider)
     }
 }
 
-/// Whether a `cdn-path`, the list of the networks that a message has passed, names a provider.
-pub(super) fn has_passed(cdn_path: &[Value], provider: &str) -> bool {
+/// Returns whether a `cdn-path` contains this CDN Provider ID. A `cdn-path` is the list of the CDNs
+/// through which a message has passed.
+pub(super) fn cdn_path_contains(cdn_path: &[Value], provider: &str) -> bool {
     cdn_path.iter().any(|passed| passed == provider)
 }
--- a/crates/proxy/src/frontend/interconnect/notification.rs
+++ b/crates/proxy/src/frontend/interconnect/notification.rs
@@ -1,16 +1,16 @@
-//! Payloads that are sent to peers without a request of theirs.
+//! Payloads that this CDN sends to peer CDNs on its own initiative.
 
 use std::net::SocketAddr;
 
-/// A payload on its way to a peer.
+/// A payload for a peer CDN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Notification {
-    /// Where the peer listens.
+    /// Address at which the peer CDN listens.
     pub address: SocketAddr,
-    /// The path that it is posted to.
+    /// Path of the POST request.
     pub path: String,
-    /// The type of the payload, as in its media type.
-    pub ptype: &'static str,
-    /// The payload, in JSON.
+    /// Payload type, which is the `ptype` parameter of the media type.
+    pub payload_type: &'static str,
+    /// Payload as JSON text.
     pub body: String,
 }
--- a/crates/proxy/src/frontend/interconnect/redirect.rs
+++ b/crates/proxy/src/frontend/interconnect/redirect.rs
@@ -1,15 +1,15 @@
-//! Request Routing Redirection Interface (RFC 7975): where the clients of a uCDN are redirected.
+//! Request Routing Redirection Interface (RFC 7975): redirection of the clients of a uCDN.
 
-use super::footprint::{network_of, Network, PeerFootprint};
-use super::identity::has_passed;
+use super::footprint::{find_network, Ipv4Network, PeerFootprint};
+use super::identity::cdn_path_contains;
 use super::{ContentPath, Identity, Response};
 use serde_json::{json, Value};
 use std::net::Ipv4Addr;
 
-/// The type of a redirection response payload.
-const PTYPE: &str = "redirection-response";
+/// Payload type of a redirection response.
+const PAYLOAD_TYPE: &str = "redirection-response";
 
-/// Why there is no redirection (RFC 7975, "Error Responses").
+/// Error for a request that cannot be redirected (RFC 7975, "Error Responses").
 struct RedirectionError {
     code: u16,
     reason: &'static str,
@@ -37,7 +37,7 @@
 const DNS_UNSUPPORTED: RedirectionError =
     RedirectionError::new(506, "redirection by DNS is not supported");
 
-/// A redirection request that can be answered by a redirection.
+/// A valid redirection request.
 struct RedirectionRequest<'a> {
     cdn_path: &'a [Value],
     uri: &'a str,
@@ -45,39 +45,40 @@
     client: Ipv4Addr,
 }
 
-/// Where a client is redirected.
+/// Target of a redirection.
 struct Target<'a> {
-    /// The base of the URLs there.
+    /// Base of the URLs at the target.
     base_url: &'a str,
-    /// The network for whose clients the redirection holds.
-    scope: Network,
+    /// Network for whose clients the redirection is valid.
+    scope: Ipv4Network,
 }
 
-/// Responds to a redirection request: with our own content where the client lies in our footprint
-/// and we can serve, else with that of a peer that has advertised that it reaches the client.
+/// Responds to a redirection request. The client is redirected to this CDN if it is in the
+/// footprint of this CDN and the proxy can serve content. Otherwise it is redirected to a peer CDN
+/// whose advertised footprint contains the client.
 pub(super) fn respond(
     identity: &Identity,
     peer_footprints: &[PeerFootprint],
-    ready: bool,
+    is_ready: bool,
     payload: Option<&Value>,
 ) -> Response {
     let redirection = payload
         .ok_or(NOT_JSON)
-        .and_then(|payload| read_request(identity, payload))
-        .and_then(|request| redirect(identity, peer_footprints, ready, &request));
-    // Also where there is no redirection the exchange itself went well: what went wrong stands in
-    // the payload.
+        .and_then(|payload| parse_request(identity, payload))
+        .and_then(|request| redirect(identity, peer_footprints, is_ready, &request));
+    // The status is 200 even if the request cannot be redirected, because the exchange itself
+    // succeeded. The payload describes the error.
     let payload = redirection.unwrap_or_else(
         |error| json!({"error": {"error-code": error.code, "reason": error.reason}}),
     );
-    Response::payload(200, PTYPE, &payload)
+    Response::payload(200, PAYLOAD_TYPE, &payload)
 }
 
-fn read_request<'a>(
+fn parse_request<'a>(
     identity: &Identity,
     payload: &'a Value,
 ) -> Result<RedirectionRequest<'a>, RedirectionError> {
-    let cdn_path = read_cdn_path(identity, payload)?;
+    let cdn_path = parse_cdn_path(identity, payload)?;
     if payload["dns"].is_object() {
         return Err(DNS_UNSUPPORTED);
     }
@@ -91,8 +92,8 @@
     if !is_get || !uri.starts_with("http://") {
         return Err(DELIVERY_UNSUPPORTED);
     }
-    let content = ContentPath::read(uri)
-        .filter(|content| identity.client_timeout(content.class).is_some())
+    let content = ContentPath::parse(uri)
+        .filter(|content| identity.client_timeout_us(content.class).is_some())
         .ok_or(UNKNOWN_CONTENT)?;
     Ok(RedirectionRequest {
         cdn_path,
@@ -102,9 +103,13 @@
     })
 }
 
-/// The networks that a request has passed, if it may be passed on (RFC 7975, "Loop Detection and
-/// Prevention").
-fn read_cdn_path<'a>(
+/// Returns the CDNs through which a request has passed (RFC 7975, "Loop Detection and Prevention").
+///
+/// # Errors
+///
+/// Returns an error if the list is missing, contains this CDN or is longer than the hop limit of
+/// the request.
+fn parse_cdn_path<'a>(
     identity: &Identity,
     payload: &'a Value,
 ) -> Result<&'a [Value], RedirectionError> {
@@ -118,14 +123,14 @@
     }
 }
 
-/// The redirection of a client, as a payload.
+/// Returns the payload that redirects a client.
 fn redirect(
     identity: &Identity,
     peer_footprints: &[PeerFootprint],
-    ready: bool,
+    is_ready: bool,
     request: &RedirectionRequest,
 ) -> Result<Value, RedirectionError> {
-    let own_target = own_target(identity, request).filter(|_| ready);
+    let own_target = own_target(identity, request).filter(|_| is_ready);
     let target = own_target
         .or_else(|| peer_target(identity, peer_footprints, request))
         .ok_or(NO_TARGET)?;
@@ -144,11 +149,12 @@
 fn own_target<'a>(identity: &'a Identity, request: &RedirectionRequest) -> Option<Target<'a>> {
     Some(Target {
         base_url: &identity.base_url,
-        scope: network_of(&identity.footprint, request.client)?,
+        scope: find_network(&identity.footprint, request.client)?,
     })
 }
 
-/// The first peer that reaches the client and that the request has not passed.
+/// Returns the first peer CDN whose footprint contains the client and through which the request has
+/// not passed.
 fn peer_target<'a>(
     identity: &'a Identity,
     peer_footprints: &[PeerFootprint],
@@ -156,15 +162,20 @@
 ) -> Option<Target<'a>> {
     let (provider, scope) = peer_footprints
         .iter()
-        .filter(|peer| !has_passed(request.cdn_path, &peer.provider))
-        .find_map(|peer| Some((&peer.provider, network_of(&peer.networks, request.client)?)))?;
+        .filter(|peer| !cdn_path_contains(request.cdn_path, &peer.provider))
+        .find_map(|peer| {
+            Some((
+                &peer.provider,
+                find_network(&peer.networks, request.client)?,
+            ))
+        })?;
     Some(Target {
         base_url: &identity.peer(provider)?.content_base_url,
         scope,
     })
 }
 
-/// The URL of the requested content elsewhere, with the query of the request.
+/// Returns the URL of the requested content at another base, with the query of the request.
 fn location(base_url: &str, request: &RedirectionRequest) -> String {
     let ContentPath {
         class,
--- a/crates/proxy/src/frontend/interconnect/response.rs
+++ b/crates/proxy/src/frontend/interconnect/response.rs
@@ -1,40 +1,44 @@
-//! HTTP responses.
+//! HTTP responses of the interconnection.
 
 use crate::request_table::{Answer, Content};
 use edge_routing::Micros;
 use serde_json::Value;
 
-/// The media type of all CDNI payloads (RFC 7736); the type of the payload follows.
-pub const MEDIA: &str = "application/cdni; ptype=";
+/// Prefix of the media type of CDNI payloads (RFC 7736). The payload type follows it.
+pub const CDNI_MEDIA_TYPE_PREFIX: &str = "application/cdni; ptype=";
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
-    /// Its status code.
+    /// Status code.
     pub status: u16,
-    /// Headers besides those of the connection and of the body's length.
+    /// Headers other than `Connection` and `Content-Length`.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response that has a status and nothing else.
-    pub fn bare(status: u16) -> Self {
+    /// Creates a response that has only a status.
+    pub fn without_body(status: u16) -> Self {
         Response {
             status,
             ..Response::default()
         }
     }
 
-    /// A CDNI payload of a type. Caches must not store it, as the state that it describes changes.
-    pub fn payload(status: u16, ptype: &str, value: &Value) -> Self {
+    /// Creates a response with a CDNI payload. Caches must not store it, because the state that it
+    /// describes changes.
+    pub fn payload(status: u16, payload_type: &str, value: &Value) -> Self {
         Response {
             status,
             headers: vec![
-                ("Content-Type", format!("{MEDIA}{ptype}")),
+                (
+                    "Content-Type",
+                    format!("{CDNI_MEDIA_TYPE_PREFIX}{payload_type}"),
+                ),
                 ("Cache-Control", "no-store".to_owned()),
             ],
             body: value.to_string().into_bytes(),
@@ -47,15 +51,15 @@
     }
 }
 
-/// The response for an answer of the request table; `late` means that the client has given up by
-/// now.
-pub fn response(answer: Answer, late: bool) -> Response {
+/// Returns the response for an answer of the request table. `client_timed_out` states whether the
+/// client no longer waits by now.
+pub fn response_to_answer(answer: Answer, client_timed_out: bool) -> Response {
     match answer {
         Answer::Served(Content::Object { bytes, tag }) => object(bytes, tag),
-        Answer::Served(Content::Unchanged) => Response::bare(304),
+        Answer::Served(Content::Unchanged) => Response::without_body(304),
         Answer::Rejected { retry_after_us } => rejection(retry_after_us),
-        Answer::Failed if late => Response::bare(504),
-        Answer::Failed => Response::bare(502),
+        Answer::Failed if client_timed_out => Response::without_body(504),
+        Answer::Failed => Response::without_body(502),
     }
 }
 
@@ -72,10 +76,10 @@
     }
 }
 
-/// A rejection. `Retry-After` counts whole seconds (RFC 9110, section 10.2.3), and 0 would ask for
-/// a retry at once.
+/// Returns the response for a rejected request. `Retry-After` is in whole seconds (RFC 9110,
+/// section 10.2.3). It is at least 1, because 0 would ask for an immediate retry.
 fn rejection(retry_after_us: Option<Micros>) -> Response {
     let wait_us = retry_after_us.unwrap_or(0);
     let wait_s = wait_us.div_ceil(MICROS_PER_SECOND).max(1);
-    Response::bare(503).with_header("Retry-After", wait_s.to_string())
+    Response::without_body(503).with_header("Retry-After", wait_s.to_string())
 }
--- a/crates/proxy/src/frontend/interconnect/route.rs
+++ b/crates/proxy/src/frontend/interconnect/route.rs
@@ -1,4 +1,4 @@
-//! Which interface a request is for, by its method and path.
+//! Maps the method and the path of a request to an interface.
 
 const HEALTH: &str = "/health";
 const CONTENT_PREFIX: &str = "/content/";
@@ -8,10 +8,10 @@
 const FOOTPRINT: &str = "/cdni/footprint";
 const PEER_FOOTPRINT_PREFIX: &str = "/cdni/footprint/";
 
-/// What a request is for.
+/// The interface that a request is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route<'a> {
-    /// The question whether content can be served.
+    /// A health check, which asks whether the proxy can serve content.
     Health,
     /// A request for content.
     Content,
@@ -19,25 +19,25 @@
     TriggerCommand,
     /// The collection of all trigger status resources (RFC 8007, section 4.2).
     TriggerCollection,
-    /// A trigger status resource, or a filtered collection, by its name.
+    /// A trigger status resource or a filtered collection, with its name.
     TriggerStatus(&'a str),
-    /// The deletion of a trigger status resource, by its name (RFC 8007, section 4.4).
+    /// The deletion of a trigger status resource, with its name (RFC 8007, section 4.4).
     TriggerDeletion(&'a str),
     /// A redirection request (RFC 7975).
     Redirection,
-    /// The request for our own advertisement (RFC 8008).
+    /// A request for the advertisement of this CDN (RFC 8008).
     FootprintAdvertisement,
-    /// A peer's advertisement, by its CDN Provider ID (RFC 8008).
+    /// An advertisement of a peer CDN, with its CDN Provider ID (RFC 8008).
     PeerAdvertisement(&'a str),
-    /// The path exists, but not for this method.
+    /// The path exists but does not support the method.
     MethodNotAllowed,
-    /// Nothing that exists here.
+    /// The path does not exist, or does not exist for this method.
     NotFound,
 }
 
 impl<'a> Route<'a> {
-    /// The route of a method and of a path without its query.
-    pub(super) fn of(method: &str, path: &'a str) -> Self {
+    /// Returns the route for a method and a path without a query.
+    pub(super) fn for_request(method: &str, path: &'a str) -> Self {
         match (method, path) {
             ("GET", HEALTH) => Self::Health,
             ("POST", TRIGGERS) => Self::TriggerCommand,
@@ -45,11 +45,11 @@
             ("POST", REDIRECTION) => Self::Redirection,
             ("GET", FOOTPRINT) => Self::FootprintAdvertisement,
             (_, HEALTH | TRIGGERS | REDIRECTION | FOOTPRINT) => Self::MethodNotAllowed,
-            _ => Self::of_prefix(method, path),
+            _ => Self::for_prefixed_path(method, path),
         }
     }
 
-    fn of_prefix(method: &str, path: &'a str) -> Self {
+    fn for_prefixed_path(method: &str, path: &'a str) -> Self {
         if method == "GET" && path.starts_with(CONTENT_PREFIX) {
             return Self::Content;
         }
--- a/crates/proxy/src/frontend/interconnect/session.rs
+++ b/crates/proxy/src/frontend/interconnect/session.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection of a peer or of a client that was redirected here.
+//! Session of an HTTP connection from a peer CDN or from a client that a peer CDN redirected.
 
 use super::Response;
 use crate::frontend::ClientSession;
@@ -8,28 +8,29 @@
 use crate::request_table::RequestKey;
 use edge_routing::Micros;
 
-/// A connection. Its requests are answered one after the other: while one waits, the next stays in
-/// the input buffer.
+/// Session of an interconnect connection. Its requests are answered one after the other. While a
+/// request is unanswered, the next one stays in the input buffer.
 pub struct Session {
-    messages: MessageParser,
-    /// The head of the request whose body is being received.
-    head: Option<Head>,
-    /// The body, as far as it was received.
-    body: Vec<u8>,
+    parser: MessageParser,
+    /// Head of the request whose body is being received.
+    request_head: Option<Head>,
+    /// Received bytes of the body.
+    request_body: Vec<u8>,
     /// Whether the connection stays open after the response.
     keep_open: bool,
-    /// The key of the request that the request table has admitted.
-    pub pending_request: Option<RequestKey>,
-    /// When the client of that request gives up, in Unix microseconds.
-    pub deadline: Micros,
+    /// Key of the admitted request that is unanswered, or `None` if there is none.
+    pub pending_request_key: Option<RequestKey>,
+    /// Unix time in microseconds at which the client of that request stops waiting.
+    pub client_deadline: Micros,
+    /// Encoded responses that are not completely written.
     outgoing: Vec<u8>,
-    /// Bytes of `outgoing` that are written.
-    written: usize,
+    /// Number of bytes of `outgoing` that are already written.
+    written_bytes: usize,
     has_received_request: bool,
     has_partial_input: bool,
 }
 
-/// The reason phrase of a status code (RFC 9110, section 15).
+/// Returns the reason phrase of a status code (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -50,7 +51,7 @@
 
 impl ClientSession for Session {
     fn is_idle(&self) -> bool {
-        self.pending_request.is_none() && self.outgoing.is_empty()
+        self.pending_request_key.is_none() && self.outgoing.is_empty()
     }
 
     fn has_partial_input(&self) -> bool {
@@ -70,42 +71,49 @@
     }
 
     fn unanswered_requests(&self) -> usize {
-        usize::from(self.pending_request.is_some())
+        usize::from(self.pending_request_key.is_some())
     }
 
     fn request_keys(&self) -> Vec<RequestKey> {
-        self.pending_request.into_iter().collect()
+        self.pending_request_key.into_iter().collect()
     }
 }
 
 impl Session {
-    /// A connection just accepted: the limits on lines and bodies of its requests are in bytes.
-    pub fn new(line_limit: usize, body_limit: usize) -> Self {
+    /// Creates the session of a new connection, with limits on the length of each line and of each
+    /// request body.
+    pub fn new(line_limit_bytes: usize, body_limit_bytes: usize) -> Self {
         Session {
-            messages: MessageParser::requests(line_limit, body_limit),
-            head: None,
-            body: Vec::new(),
+            parser: MessageParser::requests(line_limit_bytes, body_limit_bytes),
+            request_head: None,
+            request_body: Vec::new(),
             keep_open: true,
-            pending_request: None,
-            deadline: 0,
+            pending_request_key: None,
+            client_deadline: 0,
             outgoing: Vec::new(),
-            written: 0,
+            written_bytes: 0,
             has_received_request: false,
             has_partial_input: false,
         }
     }
 
-    /// Reads up to the end of the next request, once the one before has its response.
+    /// Consumes the input buffer up to the end of the next request. Returns `None` if no request is
+    /// complete, while the previous request is unanswered or its response is not completely
+    /// written, and if the connection has to be closed.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input violates the protocol or exceeds a limit.
     pub fn read(&mut self, input: &mut RingBuffer) -> Result<Option<Message>, ProtocolError> {
         while self.keep_open && self.is_idle() {
-            let (consumed, piece) = self.messages.parse(input.readable())?;
+            let (consumed, piece) = self.parser.parse(input.readable())?;
             input.consume(consumed);
             self.has_partial_input |= consumed > 0;
             match piece {
-                Some(Piece::Head(head)) => self.head = Some(head),
-                Some(Piece::Body(bytes)) => self.body.extend(bytes),
+                Some(Piece::Head(head)) => self.request_head = Some(head),
+                Some(Piece::Body(bytes)) => self.request_body.extend(bytes),
                 Some(Piece::End) => {
-                    if let Some(head) = self.head.take() {
+                    if let Some(head) = self.request_head.take() {
                         return Ok(Some(self.finish_request(head)));
                     }
                 }
@@ -116,9 +124,9 @@
         Ok(None)
     }
 
-    /// The response to the request that was read last.
+    /// Queues the response to the request that was read last.
     pub fn respond(&mut self, response: &Response) {
-        self.pending_request = None;
+        self.pending_request_key = None;
         let status_line = format!(
             "HTTP/1.1 {} {}",
             response.status,
@@ -138,18 +146,19 @@
         http::write_message(&mut self.outgoing, &status_line, &headers, &response.body);
     }
 
-    /// Rejects input that can't be read: the last response says so.
+    /// Queues status 400 as the last response, after which the connection has to be closed. This is
+    /// for input that violates the protocol.
     pub fn reject_input(&mut self) {
         self.keep_open = false;
-        self.respond(&Response::bare(400));
+        self.respond(&Response::without_body(400));
     }
 
-    /// Moves as much as fits into the output buffer.
+    /// Writes as much of the queued responses as fits into the output buffer.
     pub fn write(&mut self, output: &mut RingBuffer) {
-        self.written += output.push(&self.outgoing[self.written..]);
-        if self.written == self.outgoing.len() {
+        self.written_bytes += output.push(&self.outgoing[self.written_bytes..]);
+        if self.written_bytes == self.outgoing.len() {
             self.outgoing.clear();
-            self.written = 0;
+            self.written_bytes = 0;
         }
     }
 
@@ -159,7 +168,7 @@
         self.keep_open = head.keeps_connection_open();
         Message {
             head,
-            body: std::mem::take(&mut self.body),
+            body: std::mem::take(&mut self.request_body),
         }
     }
 }
--- a/crates/proxy/src/frontend/interconnect/triggers/mod.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/mod.rs
@@ -1,11 +1,11 @@
-//! Control Interface / Triggers (RFC 8007): commands of a uCDN, and our own for peers.
+//! Control Interface / Triggers (RFC 8007): commands from uCDNs, and commands to peer CDNs.
 //!
-//! A command to purge takes effect before its response is written, so every trigger is complete or
-//! has failed as soon as its status resource exists.
+//! A purge command takes effect before its response is written. Therefore every trigger is complete
+//! or has failed as soon as its status resource exists.
 //!
 //! - `resources`: executes commands and keeps the trigger status resources.
-//! - `specification`: which purges a trigger specification stands for.
-//! - `propagation`: purge commands for peers.
+//! - `specification`: the purges that a trigger specification requests.
+//! - `propagation`: purge commands for peer CDNs.
 
 mod propagation;
 mod resources;
--- a/crates/proxy/src/frontend/interconnect/triggers/propagation.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/propagation.rs
@@ -1,13 +1,14 @@
-//! Purge commands for peers.
+//! Purge commands for peer CDNs.
 
-use crate::frontend::interconnect::identity::has_passed;
+use crate::frontend::interconnect::identity::cdn_path_contains;
 use crate::frontend::interconnect::{Identity, Notification};
 use serde_json::{json, Value};
 
-/// The type of a trigger command payload (RFC 8007, section 5.1.1).
-const COMMAND_PTYPE: &str = "ci-trigger-command";
+/// Payload type of a trigger command (RFC 8007, section 5.1.1).
+const COMMAND_PAYLOAD_TYPE: &str = "ci-trigger-command";
 
-/// Commands to purge an object, or with none a whole group, for every peer.
+/// Returns commands for every peer CDN to purge an object. Without an object they purge the whole
+/// purge group.
 pub fn purge_commands(identity: &Identity, object: Option<&str>, group: u64) -> Vec<Notification> {
     let specification = match object {
         Some(object) => json!({"type": "purge", "content.urls": content_urls(identity, object)}),
@@ -16,8 +17,8 @@
     propagate(identity, &specification, &[])
 }
 
-/// The URL of an object. One class will do: objects are known by their keys, whatever the class in
-/// the URL.
+/// Returns the URL of an object, or no URL if no class is configured. The first class is enough,
+/// because the key alone identifies an object, whatever class the URL names.
 fn content_urls(identity: &Identity, object: &str) -> Vec<String> {
     let first_class = identity.classes.iter().take(1);
     first_class
@@ -25,8 +26,9 @@
         .collect()
 }
 
-/// A trigger command for every peer that has not seen it: our CDN Provider ID is added to the path
-/// of those that have (RFC 8007, section 4.6).
+/// Returns a trigger command for every peer CDN that is not in `cdn_path`, the list of the CDNs
+/// through which the command has passed. The new commands add this CDN to the list (RFC 8007,
+/// section 4.6).
 pub(super) fn propagate(
     identity: &Identity,
     specification: &Value,
@@ -38,11 +40,11 @@
     identity
         .peers
         .iter()
-        .filter(|peer| !has_passed(cdn_path, &peer.provider))
+        .filter(|peer| !cdn_path_contains(cdn_path, &peer.provider))
         .map(|peer| Notification {
             address: peer.address,
             path: peer.trigger_path.clone(),
-            ptype: COMMAND_PTYPE,
+            payload_type: COMMAND_PAYLOAD_TYPE,
             body: body.clone(),
         })
         .collect()
--- a/crates/proxy/src/frontend/interconnect/triggers/resources.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/resources.rs
@@ -6,30 +6,29 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-/// The type of a trigger status resource payload (RFC 8007, section 5.1.2).
-const STATUS_PTYPE: &str = "ci-trigger-status";
-/// The type of a trigger collection payload (RFC 8007, section 5.1.3).
-const COLLECTION_PTYPE: &str = "ci-trigger-collection";
-/// The error code of a command that this network is not willing to carry out (RFC 8007, section
-/// 5.2.7).
-const REJECTED: &str = "ereject";
-/// Seconds after which the status resource of a trigger that is over may be removed (RFC 8007,
-/// section 4.5).
+/// Payload type of a trigger status resource (RFC 8007, section 5.1.2).
+const STATUS_PAYLOAD_TYPE: &str = "ci-trigger-status";
+/// Payload type of a trigger collection (RFC 8007, section 5.1.3).
+const COLLECTION_PAYLOAD_TYPE: &str = "ci-trigger-collection";
+/// Error code for a command that this CDN is not willing to execute (RFC 8007, section 5.2.7).
+const REJECTED_ERROR_CODE: &str = "ereject";
+/// Time after which the status resource of a trigger that is complete or has failed may be removed
+/// (RFC 8007, section 4.5).
 const STALE_RESOURCE_TIME_S: u64 = 3600;
 
-/// A trigger command, and what its execution depends on.
+/// A trigger command, with the state that its execution depends on.
 pub struct Command<'a> {
-    /// This network and its peers.
+    /// Identity of this CDN and its peer CDNs.
     pub identity: &'a Identity,
     /// Unix time in seconds.
     pub now_s: u64,
-    /// How many more purges can be remembered.
+    /// Number of further purges that can be stored.
     pub purge_capacity: usize,
-    /// The payload (RFC 8007, section 5.1.1).
+    /// Payload of the command (RFC 8007, section 5.1.1).
     pub payload: &'a Value,
 }
 
-/// What a command leads to.
+/// Result of executing a command.
 pub struct CommandOutcome {
     pub response: Response,
     pub effects: Vec<Effect>,
@@ -43,12 +42,13 @@
         }
     }
 
-    fn bare(status: u16) -> Self {
-        Self::without_effects(Response::bare(status))
+    fn without_body(status: u16) -> Self {
+        Self::without_effects(Response::without_body(status))
     }
 }
 
-/// The trigger status (RFC 8007, section 5.2.3), as far as triggers have it here.
+/// Trigger status (RFC 8007, section 5.2.3). Only the two statuses that triggers of this CDN can
+/// have are defined.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum TriggerStatus {
     Complete,
@@ -63,7 +63,8 @@
         }
     }
 
-    /// The status by its name, which is also that of the collection of its triggers.
+    /// Returns the status with this name. The same name denotes the collection of the triggers with
+    /// this status.
     fn from_name(name: &str) -> Option<Self> {
         [Self::Complete, Self::Failed]
             .into_iter()
@@ -72,14 +73,14 @@
 }
 
 /// A trigger status resource.
-struct Resource {
+struct StatusResource {
     specification: Value,
     created_s: u64,
-    /// The error description (RFC 8007, section 5.2.6); none: the trigger is complete.
+    /// Error description (RFC 8007, section 5.2.6), or `None` if the trigger is complete.
     error: Option<Value>,
 }
 
-impl Resource {
+impl StatusResource {
     fn status(&self) -> TriggerStatus {
         match self.error {
             Some(_) => TriggerStatus::Failed,
@@ -101,65 +102,67 @@
     }
 }
 
-/// The trigger status resources, by their numbers.
+/// Trigger status resources by their numbers.
 pub struct TriggerResources {
-    resources: BTreeMap<u64, Resource>,
+    resources: BTreeMap<u64, StatusResource>,
     next_number: u64,
-    limit: usize,
+    max_resources: usize,
 }
 
 impl TriggerResources {
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_resources: usize) -> Self {
         TriggerResources {
             resources: BTreeMap::new(),
             next_number: 1,
-            limit,
+            max_resources,
         }
     }
 
-    /// Executes a command.
+    /// Executes a trigger command, which creates or cancels a trigger.
     pub fn execute(&mut self, command: Command) -> CommandOutcome {
         let payload = command.payload;
         let Some(cdn_path) = payload["cdn-path"].as_array() else {
-            return CommandOutcome::bare(400);
+            return CommandOutcome::without_body(400);
         };
         if command.identity.is_loop(cdn_path) {
-            return CommandOutcome::bare(403);
+            return CommandOutcome::without_body(403);
         }
         match (payload["trigger"].as_object(), payload["cancel"].as_array()) {
             (Some(properties), None) => self.create(&command, properties, cdn_path),
-            // All triggers are over before a cancellation can come: there is nothing to stop, which
-            // is no error.
-            (None, Some(urls)) if urls.iter().all(Value::is_string) => CommandOutcome::bare(200),
-            _ => CommandOutcome::bare(400),
+            // Every trigger is complete or has failed before a cancellation can arrive. A
+            // cancellation therefore stops nothing, which is not an error.
+            (None, Some(urls)) if urls.iter().all(Value::is_string) => {
+                CommandOutcome::without_body(200)
+            }
+            _ => CommandOutcome::without_body(400),
         }
     }
 
-    /// Carries a trigger out as far as possible and creates its status resource.
+    /// Executes a trigger as far as possible and creates its status resource.
     fn create(
         &mut self,
         command: &Command,
         properties: &Map<String, Value>,
         cdn_path: &[Value],
     ) -> CommandOutcome {
-        let specification = match Specification::read(properties) {
+        let specification = match Specification::parse(properties) {
             Ok(specification) if !specification.is_empty() => specification,
-            _ => return CommandOutcome::bare(400),
+            _ => return CommandOutcome::without_body(400),
         };
         self.remove_stale(command.now_s);
-        if self.resources.len() >= self.limit {
-            return CommandOutcome::bare(503);
+        if self.resources.len() >= self.max_resources {
+            return CommandOutcome::without_body(503);
         }
         if specification.trigger_type == TriggerType::Unknown {
-            return CommandOutcome::bare(501);
+            return CommandOutcome::without_body(501);
         }
-        let resource = Resource {
+        let resource = StatusResource {
             specification: Value::Object(properties.clone()),
             created_s: command.now_s,
             error: error_description(&specification, properties, command.purge_capacity),
         };
         let effects = effects(command, specification, &resource.specification, cdn_path);
-        let response = Response::payload(201, STATUS_PTYPE, &resource.payload());
+        let response = Response::payload(201, STATUS_PAYLOAD_TYPE, &resource.payload());
         let number = self.add(resource);
         CommandOutcome {
             response: response.with_header("Location", resource_url(command.identity, number)),
@@ -167,10 +170,10 @@
         }
     }
 
-    /// The collection of all trigger status resources, or of those of a status.
+    /// Returns the collection of all trigger status resources, or only of those with `status`.
     pub fn collection(&self, identity: &Identity, status: Option<TriggerStatus>) -> Response {
         let is_listed =
-            |resource: &Resource| status.is_none_or(|status| status == resource.status());
+            |resource: &StatusResource| status.is_none_or(|status| status == resource.status());
         let urls: Vec<String> = self
             .resources
             .iter()
@@ -186,10 +189,11 @@
             "coll-complete": format!("{base_url}/{}", TriggerStatus::Complete.name()),
             "coll-failed": format!("{base_url}/{}", TriggerStatus::Failed.name()),
         });
-        Response::payload(200, COLLECTION_PTYPE, &payload)
+        Response::payload(200, COLLECTION_PAYLOAD_TYPE, &payload)
     }
 
-    /// A trigger status resource by its number, or the collection of those of a status by its name.
+    /// Returns the trigger status resource with this number, or the collection of those with the
+    /// status of this name.
     pub fn status(&self, identity: &Identity, name: &str) -> Response {
         if let Some(status) = TriggerStatus::from_name(name) {
             return self.collection(identity, Some(status));
@@ -199,20 +203,20 @@
             .ok()
             .and_then(|number| self.resources.get(&number));
         match resource {
-            Some(resource) => Response::payload(200, STATUS_PTYPE, &resource.payload()),
-            None => Response::bare(404),
+            Some(resource) => Response::payload(200, STATUS_PAYLOAD_TYPE, &resource.payload()),
+            None => Response::without_body(404),
         }
     }
 
-    /// Deletes a trigger status resource by its number.
+    /// Deletes the trigger status resource with this number.
     pub fn delete(&mut self, name: &str) -> Response {
         let removed = name
             .parse::<u64>()
             .ok()
             .and_then(|number| self.resources.remove(&number));
         match removed {
-            Some(_) => Response::bare(204),
-            None => Response::bare(404),
+            Some(_) => Response::without_body(204),
+            None => Response::without_body(404),
         }
     }
 
@@ -221,7 +225,7 @@
             .retain(|_, resource| resource.created_s + STALE_RESOURCE_TIME_S >= now_s);
     }
 
-    fn add(&mut self, resource: Resource) -> u64 {
+    fn add(&mut self, resource: StatusResource) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         self.resources.insert(number, resource);
@@ -237,7 +241,8 @@
     format!("{}/{number}", collection_url(identity))
 }
 
-/// What of a trigger can't be carried out, and why; none if all of it can.
+/// Returns an error description for the part of a trigger that cannot be executed, or `None` if all
+/// of it can be executed.
 fn error_description(
     specification: &Specification,
     properties: &Map<String, Value>,
@@ -245,27 +250,33 @@
 ) -> Option<Value> {
     if specification.trigger_type == TriggerType::Preposition {
         let reason = "content is fetched when it is asked for";
-        return Some(rejection(selectors(properties), reason));
+        return Some(rejection_description(selectors(properties), reason));
     }
     if specification.purges.len() > purge_capacity {
-        return Some(rejection(selectors(properties), "too many purges are held"));
+        return Some(rejection_description(
+            selectors(properties),
+            "too many purges are held",
+        ));
     }
     if !specification.unsupported.is_empty() {
         let reason = "only content named by its URL or its collection can be purged";
-        return Some(rejection(specification.unsupported.clone(), reason));
+        return Some(rejection_description(
+            specification.unsupported.clone(),
+            reason,
+        ));
     }
     None
 }
 
-/// An error description for some selectors (RFC 8007, section 5.2.6).
-fn rejection(mut selectors: Map<String, Value>, reason: &str) -> Value {
-    selectors.insert("error".to_owned(), REJECTED.into());
+/// Returns an error description for these selectors (RFC 8007, section 5.2.6).
+fn rejection_description(mut selectors: Map<String, Value>, reason: &str) -> Value {
+    selectors.insert("error".to_owned(), REJECTED_ERROR_CODE.into());
     selectors.insert("description".to_owned(), reason.into());
     Value::Object(selectors)
 }
 
-/// The purges that can be carried out, also if others can't, and the commands that pass the trigger
-/// on to peers.
+/// Returns the effects of a trigger: the purges that can be executed, even if others of the trigger
+/// cannot, and the commands that forward the trigger to peer CDNs.
 fn effects(
     command: &Command,
     specification: Specification,
--- a/crates/proxy/src/frontend/interconnect/triggers/specification.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/specification.rs
@@ -1,60 +1,60 @@
-//! Trigger specifications (RFC 8007, section 5.2.1): what a command is to be carried out on.
+//! Trigger specifications (RFC 8007, section 5.2.1): the content that a command applies to.
 
 use crate::frontend::interconnect::ContentPath;
 use serde_json::{Map, Value};
 
-/// The property that holds the trigger type; all others select content.
-const TYPE: &str = "type";
-/// The selector of content by its URLs.
+/// Name of the property with the trigger type. All other properties select content.
+const TYPE_PROPERTY: &str = "type";
+/// Selector of content by its URLs.
 const CONTENT_URLS: &str = "content.urls";
-/// The selector of content by its collections. A collection is a group here.
+/// Selector of content by its collections. This CDN maps each collection to a purge group.
 const CONTENT_COLLECTIONS: &str = "content.ccid";
-/// Objects are in one of 256 groups.
-const GROUPS: u64 = 256;
+/// Number of purge groups. Every object is in one of them.
+const GROUP_COUNT: u64 = 256;
 
 /// The trigger type (RFC 8007, section 5.2.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TriggerType {
-    /// Content is to be fetched.
+    /// Fetch the content in advance.
     Preposition,
-    /// Content is to be deleted, or to be validated before it is used again. Copies are not
-    /// validated here: they are purged, which is stricter.
+    /// Purge: delete the content. Invalidate: validate the content before it is used again. This
+    /// CDN does not validate copies. It purges them instead, which is stricter.
     PurgeOrInvalidate,
-    /// Not of the standard.
+    /// A type that RFC 8007 does not define.
     Unknown,
 }
 
-/// What is purged.
+/// The target of a purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PurgeTarget {
-    /// The object; none: a whole group.
+    /// Key of the object, or `None` to purge the whole purge group.
     pub object: Option<String>,
-    /// The group, if there is no object.
+    /// Purge group, which is used only if there is no object.
     pub group: u64,
 }
 
-/// The specification has not the form of the standard.
+/// Error for a trigger specification that does not have the form that RFC 8007 requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct MalformedSpecification;
 
-/// What a trigger selects.
+/// The type of a trigger and the content that it selects.
 pub(super) struct Specification {
     pub trigger_type: TriggerType,
-    /// The purges that the selectors stand for.
+    /// Purges that the selectors request.
     pub purges: Vec<PurgeTarget>,
-    /// What can't be selected here, by selector.
+    /// Values that this CDN cannot select, by selector.
     pub unsupported: Map<String, Value>,
 }
 
 impl Specification {
-    pub(super) fn read(properties: &Map<String, Value>) -> Result<Self, MalformedSpecification> {
+    pub(super) fn parse(properties: &Map<String, Value>) -> Result<Self, MalformedSpecification> {
         let mut specification = Specification {
-            trigger_type: read_type(properties)?,
+            trigger_type: parse_type(properties)?,
             purges: Vec::new(),
             unsupported: Map::new(),
         };
         for (selector, values) in properties {
-            if selector != TYPE {
+            if selector != TYPE_PROPERTY {
                 let values = values.as_array().ok_or(MalformedSpecification)?;
                 specification.add_selector(selector, values)?;
             }
@@ -62,7 +62,7 @@
         Ok(specification)
     }
 
-    /// Whether nothing at all is selected.
+    /// Returns whether the trigger selects nothing.
     pub(super) fn is_empty(&self) -> bool {
         self.purges.is_empty() && self.unsupported.is_empty()
     }
@@ -87,15 +87,15 @@
     }
 }
 
-/// All selectors of a specification, as an error description lists them.
+/// Returns all selectors of a specification, in the form that an error description lists them.
 pub(super) fn selectors(properties: &Map<String, Value>) -> Map<String, Value> {
     let mut selectors = properties.clone();
-    selectors.remove(TYPE);
+    selectors.remove(TYPE_PROPERTY);
     selectors
 }
 
-fn read_type(properties: &Map<String, Value>) -> Result<TriggerType, MalformedSpecification> {
-    let name = properties.get(TYPE).and_then(Value::as_str);
+fn parse_type(properties: &Map<String, Value>) -> Result<TriggerType, MalformedSpecification> {
+    let name = properties.get(TYPE_PROPERTY).and_then(Value::as_str);
     Ok(match name.ok_or(MalformedSpecification)? {
         "preposition" => TriggerType::Preposition,
         "purge" | "invalidate" => TriggerType::PurgeOrInvalidate,
@@ -103,7 +103,7 @@
     })
 }
 
-/// The purge that one value of a selector stands for; none if it can't be selected here.
+/// Returns the purge that a value of a selector requests, or `None` if this CDN cannot select it.
 fn purge_target(
     selector: &str,
     value: &Value,
@@ -112,14 +112,14 @@
     Ok(match selector {
         CONTENT_URLS => object_target(text()?),
         CONTENT_COLLECTIONS => group_target(text()?),
-        // Metadata is not held here, and objects are known by their keys alone, so that no pattern
-        // can be matched against them.
+        // Other selectors select metadata, which this CDN does not store, or match patterns.
+        // Patterns cannot be matched, because this CDN knows objects only by their keys.
         _ => None,
     })
 }
 
 fn object_target(url: &str) -> Option<PurgeTarget> {
-    let content = ContentPath::read(url)?;
+    let content = ContentPath::parse(url)?;
     Some(PurgeTarget {
         object: Some(content.object.to_owned()),
         group: 0,
@@ -127,7 +127,10 @@
 }
 
 fn group_target(collection: &str) -> Option<PurgeTarget> {
-    let group = collection.parse().ok().filter(|group| *group < GROUPS)?;
+    let group = collection
+        .parse()
+        .ok()
+        .filter(|group| *group < GROUP_COUNT)?;
     Some(PurgeTarget {
         object: None,
         group,
--- a/crates/proxy/src/protocol/resp.rs
+++ b/crates/proxy/src/protocol/resp.rs
@@ -21,7 +21,8 @@
 enum State {
     /// The line with the number of strings in the array.
     ArrayLength,
-    /// The line with the length of the next string. The array still lacks `missing_strings` strings.
+    /// The line with the length of the next string. The array still lacks `missing_strings`
+    /// strings.
     StringLength { missing_strings: usize },
     /// The bytes of a string and the line end after it. The array still lacks `missing_strings`
     /// strings, including this one.
