--- a/crates/proxy/src/frontend/fastcgi/outgoing.rs
+++ b/crates/proxy/src/frontend/fastcgi/outgoing.rs
@@ -56,7 +56,7 @@
 }
 
 impl OutgoingQueue {
-    /// Returns the number of answers that are not completely written.
+    /// Returns the number of answers and management records that are not completely written.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Adds a management record, which answers one of the client.
+    /// Adds a management record, which answers a management record of the client.
     pub(super) fn push_management_record(&mut self, record_type: u8, content: &[u8]) {
         let mut record = Vec::new();
         wire::write_record(&mut record, record_type, wire::NULL_REQUEST_ID, content);
--- a/crates/proxy/src/frontend/fastcgi/session.rs
+++ b/crates/proxy/src/frontend/fastcgi/session.rs
@@ -75,7 +75,7 @@
 /// Session of a web server's connection.
 #[derive(Default)]
 pub struct Session {
-    records: RecordParser,
+    record_parser: RecordParser,
     /// Open requests by their FastCGI request ids.
     open_requests: HashMap<u16, OpenRequest>,
     outgoing: OutgoingQueue,
@@ -96,7 +96,7 @@
     }
 
     fn has_partial_input(&self) -> bool {
-        self.records.has_partial_input() || self.partial_requests().next().is_some()
+        self.record_parser.has_partial_input() || self.partial_requests().next().is_some()
     }
 
     fn has_received_request(&self) -> bool {
@@ -140,7 +140,7 @@
         limits: &Limits,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
         while !input.is_empty() {
-            let (consumed, record) = self.records.parse(input.readable())?;
+            let (consumed, record) = self.record_parser.parse(input.readable())?;
             input.consume(consumed);
             let Some(record) = record else {
                 continue;
--- a/crates/proxy/src/frontend/interconnect/frontend.rs
+++ b/crates/proxy/src/frontend/interconnect/frontend.rs
@@ -36,7 +36,7 @@
 pub struct HandledRequest {
     /// How the request is answered.
     pub reply: InterconnectReply,
-    /// Further effects, in the order in which they have to be applied.
+    /// Effects besides the response, in the order in which they have to be applied.
     pub effects: Vec<Effect>,
 }
 
--- a/crates/proxy/src/frontend/interconnect/redirect.rs
+++ b/crates/proxy/src/frontend/interconnect/redirect.rs
@@ -42,7 +42,7 @@
     cdn_path: &'a [Value],
     uri: &'a str,
     content: ContentPath<'a>,
-    client: Ipv4Addr,
+    client_address: Ipv4Addr,
 }
 
 /// Target of a redirection.
@@ -99,7 +99,7 @@
         cdn_path,
         uri,
         content,
-        client: client.parse().map_err(|_| NOT_IPV4)?,
+        client_address: client.parse().map_err(|_| NOT_IPV4)?,
     })
 }
 
@@ -149,7 +149,7 @@
 fn own_target<'a>(identity: &'a Identity, request: &RedirectionRequest) -> Option<Target<'a>> {
     Some(Target {
         base_url: &identity.base_url,
-        scope: find_network(&identity.footprint, request.client)?,
+        scope: find_network(&identity.footprint, request.client_address)?,
     })
 }
 
@@ -166,7 +166,7 @@
         .find_map(|peer| {
             Some((
                 &peer.provider,
-                find_network(&peer.networks, request.client)?,
+                find_network(&peer.networks, request.client_address)?,
             ))
         })?;
     Some(Target {
