--- a/crates/proxy/src/frontend/interconnect/response.rs
+++ b/crates/proxy/src/frontend/interconnect/response.rs
@@ -56,7 +56,7 @@
 pub fn response_to_answer(answer: Answer, client_timed_out: bool) -> Response {
     match answer {
         Answer::Served(Content::Object { bytes, tag }) => object(bytes, tag),
-        Answer::Served(Content::Unchanged) => Response::without_body(304),
+        Answer::Served(Content::NotModified) => Response::without_body(304),
         Answer::Rejected { retry_after_us } => rejection(retry_after_us),
         Answer::Failed if client_timed_out => Response::without_body(504),
         Answer::Failed => Response::without_body(502),
