--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -169,10 +169,10 @@
             class: self.class()?.to_owned(),
             object: self.required_identifier(Parameter::ObjectKey)?,
             part: self
-                .number(Parameter::Part, 0, limits.max_part)?
+                .number(Parameter::Part, 0, limits.max_part_number)?
                 .unwrap_or(0),
             group: self.number(Parameter::Group, 0, MAX_GROUP)?.unwrap_or(0),
-            size_kb: self.size_kb(limits.max_size_kb)?,
+            size_kb: self.size_kb(limits.max_part_size_kb)?,
             remaining_us: self.remaining_us(limits)?,
             idempotency_key: self.hexadecimal(Parameter::IdempotencyKey, IDEMPOTENCY_KEY_DIGITS)?,
             client_copy_tag: self.hexadecimal(Parameter::ClientCopyTag, IDENTIFIER_DIGITS)?,
@@ -244,7 +244,7 @@
     }
 
     fn remaining_us(&self, limits: &Limits) -> Result<Micros, InvalidParameter> {
-        let max_ms = limits.client_budget_us / MICROS_PER_MILLISECOND;
+        let max_ms = limits.max_client_timeout_us / MICROS_PER_MILLISECOND;
         let budget_ms = self
             .number(Parameter::TimeBudgetMs, 1, max_ms)?
             .ok_or(InvalidParameter::Missing(Parameter::TimeBudgetMs))?;
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -92,7 +92,7 @@
             requests: PendingRequests::new(limits.open_requests, limits.total_body_bytes),
             deadline_timing: DeadlineTiming {
                 answer_lead_us: limits.answer_lead_us,
-                sweep_interval_us: limits.deadline_sweep_us,
+                sweep_interval_us: limits.deadline_check_interval_us,
             },
             servers: ServerDirectory::default(),
             permanent_purges: PermanentPurges::new(limits.permanent_purges),
@@ -184,7 +184,7 @@
             Some(object) => log::debug!("purge of object {object} received from the event bus"),
             None => log::info!("purge of group {group} received from the event bus"),
         }
-        let shift_us = self.reference_time.event_arrived(now, event_time_us);
+        let shift_us = self.reference_time.observe_event(now, event_time_us);
         self.report_time_shift(now, shift_us);
         let purge = Purge {
             target: PurgeTarget { object, group },
@@ -228,7 +228,7 @@
     fn convert_start_times(&mut self, now: Micros, entries: &mut [ListedServer]) {
         let mut shift_us = 0;
         for started in entries.iter().filter_map(|entry| entry.endpoint.started_at) {
-            shift_us += self.reference_time.event_arrived(now, started);
+            shift_us += self.reference_time.observe_event(now, started);
         }
         self.report_time_shift(now, shift_us);
         for entry in entries {
@@ -351,7 +351,7 @@
             .copy_made_at_us
             .filter(|_| result.outcome == Outcome::Ok)
         {
-            let shift_us = self.reference_time.copy_arrived(now, made_at_us);
+            let shift_us = self.reference_time.observe_copy(now, made_at_us);
             self.report_time_shift(now, shift_us);
         }
         let content = result.content.take();
--- a/crates/proxy/src/upstream/cancel.rs
+++ b/crates/proxy/src/upstream/cancel.rs
@@ -78,7 +78,7 @@
             .values()
             .filter_map(Stream::abort_written_at)
             .min();
-        earliest.map(|abort_written_at| abort_written_at + limits.cancel_settle_us)
+        earliest.map(|abort_written_at| abort_written_at + limits.cancel_settle_delay_us)
     }
 
     /// Removes the attempts of which no byte is written and which would be sent to `server` or
@@ -131,7 +131,7 @@
     /// Returns the attempt whose complete command is at the front of the output buffer, if there is
     /// one. There is at most one, because `flush` adds an attempt only when the buffer is empty.
     fn unwritten_attempt(&self, socket: &BufferedSocket) -> Option<UnwrittenAttempt> {
-        if !socket.connected || socket.output.is_empty() {
+        if !socket.is_connected || socket.output.is_empty() {
             return None;
         }
         let output_end = socket.bytes_written + socket.output.len() as u64;
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -65,7 +65,7 @@
         socket: &mut BufferedSocket,
         events: &mut Vec<UpstreamEvent>,
     ) -> IoProgress {
-        while socket.connected && socket.output.is_empty() {
+        while socket.is_connected && socket.output.is_empty() {
             let Some(attempt) = self.queue.pop_front() else {
                 break;
             };
@@ -113,7 +113,7 @@
         true
     }
 
-    /// Reports cancellations whose `abort` was written at least `Limits::cancel_settle_us` ago. The
+    /// Reports cancellations whose `abort` was written at least `Limits::cancel_settle_delay_us` ago. The
     /// `abort` needs that time to arrive: a further attempt at a nearer server must not overtake
     /// it.
     fn report_due_cancellations(
@@ -122,7 +122,7 @@
         bytes_written: u64,
         events: &mut Vec<UpstreamEvent>,
     ) {
-        let report_delay_us = context.limits.cancel_settle_us;
+        let report_delay_us = context.limits.cancel_settle_delay_us;
         for stream in self.streams.values_mut() {
             let due = stream.take_due_cancellation(context.now, bytes_written, report_delay_us);
             events.extend(
--- a/crates/proxy/tests/backoff.rs
+++ b/crates/proxy/tests/backoff.rs
@@ -19,15 +19,15 @@
             LONGEST_WAIT_US,
             LONGEST_WAIT_US,
         ] {
-            let wait_us = backoff.next_us();
+            let wait_us = backoff.next_delay_us();
             assert!(
                 (longest_us / 2..=longest_us).contains(&wait_us),
                 "wait of {wait_us} us, expected {} to {longest_us} us",
                 longest_us / 2
             );
         }
-        backoff.succeeded();
-        assert!(backoff.next_us() <= SHORTEST_WAIT_US);
+        backoff.reset();
+        assert!(backoff.next_delay_us() <= SHORTEST_WAIT_US);
     }
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn proxies_that_lose_a_source_together_do_not_reconnect_together() {
     let first_waits: BTreeSet<u64> = (0..900)
-        .map(|seed| Backoff::new(SHORTEST_WAIT_US, LONGEST_WAIT_US, seed).next_us())
+        .map(|seed| Backoff::new(SHORTEST_WAIT_US, LONGEST_WAIT_US, seed).next_delay_us())
         .collect();
     assert!(
         first_waits.len() > 800,
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -22,7 +22,7 @@
         (
             config.event_bus,
             config.known_events.last_offset,
-            config.limits.descriptors
+            config.limits.file_descriptors
         ),
         (None, 0, 1024)
     );
@@ -108,13 +108,13 @@
     (changed["bus"], changed["seed"], changed["known"]) =
         (json!("127.0.0.1:1"), json!("7"), json!({"offset": 3}));
     assert!(running
-        .fixed_changes(&read_config(&changed).unwrap())
+        .changes_requiring_restart(&read_config(&changed).unwrap())
         .is_empty());
     (changed["listen"], changed["limits"], changed["name"]) =
         (json!("127.0.0.1:9"), json!({"sockets": 99}), json!("n"));
     changed["settings"]["limits"]["try-limit"] = json!(2);
     assert_eq!(
-        running.fixed_changes(&read_config(&changed).unwrap()),
+        running.changes_requiring_restart(&read_config(&changed).unwrap()),
         ["name", "listen", "limits", "settings"]
     );
 }
--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -36,7 +36,7 @@
         unknown_state,
         draining,
     ]);
-    let Some(DiscoveryEvent::List(EndpointListMode::Delta, servers)) = message.event else {
+    let Some(DiscoveryEvent::EndpointList(EndpointListMode::Delta, servers)) = message.event else {
         panic!("not a list: {message:?}");
     };
     let read: Vec<_> = servers
@@ -59,7 +59,7 @@
     let without_optional_fields =
         json!({"uid": "s-1", "endpoint": "10.1.0.9:6565", "state": "ready", "boot_ms": 12.0});
     let message = endpoint_list(&[entry("s-0"), without_optional_fields]);
-    let Some(DiscoveryEvent::List(_, servers)) = message.event else {
+    let Some(DiscoveryEvent::EndpointList(_, servers)) = message.event else {
         panic!("not a list: {message:?}");
     };
     let (complete_endpoint, minimal_endpoint) = (&servers[0].endpoint, &servers[1].endpoint);
@@ -157,7 +157,7 @@
     let messages = client.read(9, stream.as_bytes(), &mut last_offset).unwrap();
     let offsets: Vec<u64> = messages.iter().map(|message| message.offset).collect();
     assert_eq!(offsets, [42, 44]);
-    assert_eq!((last_offset, client.last_read()), (44, 9));
+    assert_eq!((last_offset, client.last_read_at()), (44, 9));
     assert!(client
         .read(9, b"data: no JSON\n\n", &mut last_offset)
         .is_err());
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -468,7 +468,7 @@
     );
     assert!(request_table.is_idle());
     assert!(
-        latest_timer(&commands).is_none_or(|at| at <= NOW_US + limits().deadline_sweep_us),
+        latest_timer(&commands).is_none_or(|at| at <= NOW_US + limits().deadline_check_interval_us),
         "timers of rejected requests would accumulate in a flood of requests"
     );
 }
@@ -486,7 +486,7 @@
     let mut now = NOW_US;
     let mut sweeps = 0;
     while answers(&request_table.take_commands()).is_empty() {
-        now += limits().deadline_sweep_us;
+        now += limits().deadline_check_interval_us;
         request_table.timer_fired(now, RequestTimer::Deadline(request_key));
         sweeps += 1;
     }
