--- a/crates/proxy/tests/protocol.rs
+++ b/crates/proxy/tests/protocol.rs
@@ -69,7 +69,7 @@
 fn write_padded_record(out: &mut Vec<u8>, record: &fastcgi::Record, padding: u8) {
     const PADDING_LENGTH_OFFSET: usize = 6;
     let start = out.len();
-    fastcgi::write_record(out, record.record_type, record.id, &record.content);
+    fastcgi::write_record(out, record.record_type, record.request_id, &record.content);
     out[start + PADDING_LENGTH_OFFSET] = padding;
     out.extend(vec![0; usize::from(padding)]);
 }
@@ -92,8 +92,8 @@
     ) {
         let mut input = Vec::new();
         let mut written = Vec::new();
-        for (record_type, id, content, padding) in padded_records {
-            let record = fastcgi::Record { record_type, id, content };
+        for (record_type, request_id, content, padding) in padded_records {
+            let record = fastcgi::Record { record_type, request_id, content };
             write_padded_record(&mut input, &record, padding);
             written.push(record);
         }
@@ -115,7 +115,7 @@
         }
         prop_assert_eq!(fastcgi::read_pairs(&input), Ok(pairs));
         let _ = fastcgi::read_pairs(&garbage);
-        let _ = fastcgi::read_begin(&garbage);
+        let _ = fastcgi::read_begin_request(&garbage);
     }
 
     /// Input from cache servers may be split anywhere by the network. This must not change the
@@ -135,7 +135,7 @@
         assert_robust(new_parser, &input, &splits, &garbage, |arrays| arrays);
         let read = parse_all(new_parser(), &input, &splits).unwrap();
         prop_assert_eq!(read, arrays);
-        let _ = resp::field(&garbage, "a");
+        let _ = resp::field_value(&garbage, "a");
     }
 
     /// A body may have a stated length or come in chunks, and input may be split anywhere. This
@@ -217,7 +217,9 @@
         );
         assert_eq!(
             result,
-            Err(ProtocolError::Malformed("an HTTP body's length"))
+            Err(ProtocolError::Malformed(
+                "an HTTP body's length (expected one Content-Length or chunked coding)"
+            ))
         );
     }
 }
--- a/crates/testkit/src/received_command.rs
+++ b/crates/testkit/src/received_command.rs
@@ -38,7 +38,7 @@
 
     /// Returns the value of a field, or None if the command has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
-        resp::field(self.fields.as_bytes(), name)
+        resp::field_value(self.fields.as_bytes(), name)
     }
 
     /// Returns whether the command requests an object.
