--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -254,8 +254,8 @@
             (accept_failing_since, self.connections.get_mut(key))
         {
             connection.unread_since = Some(since);
-            // The connection is read at once. After the grace period it is closed here if it has no
-            // request, or else with its answer.
+            // The connection is read at once. After the grace period it is closed here if it
+            // carries no request, and otherwise once its requests are answered.
             self.read_pending_input(now, key);
         }
     }
--- a/crates/proxy/src/event_loop/close_reason.rs
+++ b/crates/proxy/src/event_loop/close_reason.rs
@@ -33,8 +33,9 @@
     PartialRequestLimit,
     /// A connection to a cache server is broken, stalled, or ended in the middle of an answer.
     UpstreamUnusable,
-    /// A cache server is draining or no longer in the endpoint list, and no answer is pending on
-    /// this connection.
+    /// A cache server is draining or no longer in the endpoint list. Either it is the server of this
+    /// connection and no answer is pending on the connection, or the output buffer contains an
+    /// unwritten attempt for it that can't be removed.
     ServerDrained,
     /// A connection to a cache server is unresponsive and is replaced by another one.
     UpstreamUnresponsive,
@@ -78,7 +79,7 @@
             CloseReason::Evicted => "evicted to accept another client",
             CloseReason::PartialRequestLimit => "partially received requests exceed their limit",
             CloseReason::UpstreamUnusable => "the cache server connection is broken or stalled",
-            CloseReason::ServerDrained => "the cache server is draining or was removed",
+            CloseReason::ServerDrained => "a cache server is draining or was removed",
             CloseReason::UpstreamUnresponsive => "the cache server is unresponsive",
             CloseReason::EventBusAddressChanged => "the address of the event bus has changed",
             CloseReason::EventBusSilent => "the event bus has sent nothing for too long",
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -25,7 +25,7 @@
     unanswered_connection: Option<SlabKey>,
     /// Timer of the next check. At most one is set.
     check_timer: Option<TimerKey>,
-    /// Id of the last received event. A new connection requests the events after it.
+    /// Number of the last received event. A new connection requests the events after it.
     pub(super) last_event_id: u64,
     backoff: Backoff,
 }
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -22,8 +22,7 @@
 /// State of the interconnection with peer CDNs.
 pub(super) struct Interconnect {
     pub(super) frontend: InterconnectFrontend,
-    /// File that stores purges across restarts, or `None` if purges last only as long as the
-    /// process.
+    /// File that stores purges across restarts. `None` if purges are forgotten at a restart.
     pub(super) purge_log: Option<PurgeLog>,
     /// Whether a retry of writing the purge log is scheduled.
     pub(super) purge_log_retry_scheduled: bool,
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -1,5 +1,5 @@
-//! Startup: binds the sockets, replays the stored purges and the known events, and contacts the
-//! sources of the endpoint list.
+//! Startup: binds the sockets, replays the stored purges and the events that were published before
+//! the start, and contacts the sources of the endpoint list.
 
 use super::acceptor::{Acceptor, Acceptors, ListenerKind};
 use super::clients::ClientAccounting;
@@ -104,8 +104,9 @@
 }
 
 impl EventLoop {
-    /// Binds the sockets, replays the stored purges and the known events, and contacts the sources
-    /// of the endpoint list. On SIGHUP the event loop reads a new configuration from `source`.
+    /// Binds the sockets, replays the stored purges and the events that were published before the
+    /// start, and contacts the sources of the endpoint list. On SIGHUP the event loop reads a new
+    /// configuration from `source`.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Withdraws an attempt of which nothing is written yet. An attempt in flight is not affected.
+    /// Removes an attempt of which no byte is written yet and reports it as cancelled. An attempt
+    /// that is partly or completely written is not affected.
     pub(in crate::event_loop) fn dequeue_attempt(
         &mut self,
         now: Micros,
@@ -241,8 +242,10 @@
         }
     }
 
-    /// Withdraws all unwritten attempts that would be sent to a server that is draining or gone, or
-    /// for which another server would fill from it.
+    /// Handles a server that is draining or gone. Removes the attempts of which no byte is written
+    /// yet and which would be sent to this server or filled from it, and reports them as not sent.
+    /// Closes the connections from which such an attempt can't be removed, and the connections to
+    /// this server that await no answer.
     pub(in crate::event_loop) fn drain_server(&mut self, now: Micros, server: ServerId) {
         self.drain_parked_attempts(now, server);
         for key in self.upstream_connections.all_keys() {
@@ -256,7 +259,8 @@
             let is_drained = connected_to == server && upstream.is_idle();
             self.report_upstream_events(now, connected_to, events);
             if !is_usable || is_drained {
-                // The address of the server may be reassigned to another server.
+                // An attempt that can't be removed must not be written. The address of a drained
+                // server may be reassigned to another server.
                 self.close(now, key, CloseReason::ServerDrained);
             }
         }
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -20,14 +20,14 @@
     /// Slots of the connection table that are reserved for the first connection to each cache
     /// server. Further connections to a server must leave this many slots free.
     pub spare_connections: usize,
-    /// How long the proxy waits before it accepts connections again after running out of file
-    /// descriptors.
+    /// How long the proxy waits before it accepts connections again, after the connection table was
+    /// full or accepting failed, for example for lack of a file descriptor.
     pub accept_retry_interval_us: Micros,
     /// How long the proxy waits before it retries a step that failed because no file descriptor,
     /// memory, port or route was available. An example of such a step is watching a socket.
     pub local_error_retry_interval_us: Micros,
-    /// An attempt is abandoned if lack of file descriptors, memory, ports or routes has kept it
-    /// from getting a connection for this long.
+    /// An attempt is abandoned if a full connection table or lack of file descriptors, memory,
+    /// ports or routes has kept it from getting a connection for this long.
     pub local_error_timeout_us: Micros,
 
     // ---- Timeouts of client connections ----
@@ -182,8 +182,8 @@
     /// New connections and requests are accepted for this long. A later request would have too
     /// little time left before SIGKILL.
     pub shutdown_grace_us: Micros,
-    /// Requests that are still open at this time are answered at once, because the process may be
-    /// killed right after.
+    /// Requests that are still open at this time are answered as failed at once, because the
+    /// process may be killed right after.
     pub shutdown_deadline_us: Micros,
 
     // ---- Log ----
--- a/crates/proxy/src/request_table/counters.rs
+++ b/crates/proxy/src/request_table/counters.rs
@@ -10,7 +10,7 @@
     pub admitted: u64,
     /// Started attempts.
     pub attempts: u64,
-    /// Requests that a cache server served.
+    /// Requests that were served.
     pub served: u64,
     /// Requests rejected after their admission.
     pub rejected: u64,
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -163,9 +163,9 @@
         mut entries: Vec<ListedServer>,
     ) {
         self.convert_start_times(now, &mut entries);
-        let withdrawn = self.servers.update(mode, &entries);
+        let no_longer_ready = self.servers.update(mode, &entries);
         self.commands
-            .extend(withdrawn.into_iter().map(Command::DrainServer));
+            .extend(no_longer_ready.into_iter().map(Command::DrainServer));
         let endpoints = entries.into_iter().map(|entry| entry.endpoint).collect();
         self.handle_event(now, Event::EndpointList { mode, endpoints });
     }
--- a/crates/proxy/src/request_table/tests.rs
+++ b/crates/proxy/src/request_table/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_rejected_request_is_not_served_early() {
+fn a_rejected_request_does_not_count_as_served_early() {
     assert!(!rejected_after_a_retry().is_served_early_by_first_attempt(2_000_000));
     let mut without_retry = RequestTrace::new(0);
     without_retry.attempt_ended(rejected_attempt());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_served_by_a_retry_is_not_served_by_its_first_attempt() {
+fn a_request_served_by_a_retry_does_not_count_as_served_early() {
     let mut trace = RequestTrace::new(0);
     trace.attempt_ended(rejected_attempt());
     trace.attempt_ended(rejected_attempt());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_request_served_by_its_first_attempt_is_served_early_up_to_half_of_its_time() {
+fn a_request_served_by_its_first_attempt_counts_as_served_early_up_to_half_of_its_time() {
     let mut trace = RequestTrace::new(0);
     trace.attempt_ended(rejected_attempt());
     trace.end(50, RequestEnding::Served);
