--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -116,8 +116,8 @@
 impl Config {
     /// Reads the file that `ROUTER_CONFIG` names. If it lacks the keys `name` or `listen`, uses the
     /// environment variables `ROUTER_NAME` and `ROUTER_LISTEN`. The interconnect and Consul are
-    /// configured in the deployment file: the one that `EDGE_PROXY_INTERCONNECT` names, or otherwise
-    /// `deploy/interconnect.json` if it exists.
+    /// configured in the deployment file: the one that `EDGE_PROXY_INTERCONNECT` names, or
+    /// otherwise `deploy/interconnect.json` if it exists.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::PathNotSet)?;
         let mut document = read_file(&path)?;
@@ -156,8 +156,8 @@
         })
     }
 
-    /// Adds the configuration of the interconnect and of Consul from the JSON form of the deployment
-    /// file. Each is disabled unless the file gives an address for it.
+    /// Adds the configuration of the interconnect and of Consul from the JSON form of the
+    /// deployment file. Each is disabled unless the file gives an address for it.
     pub fn apply_deployment(&mut self, value: &Value) -> Result<(), ConfigError> {
         let Object(document): Object<DeploymentDocument> = read(value)?;
         if let Some(fields) = document.cdni {
--- a/crates/proxy/src/discovery/event_bus.rs
+++ b/crates/proxy/src/discovery/event_bus.rs
@@ -240,7 +240,7 @@
                 Ok(_) => {}
                 Err(error) => {
                     log::warn!(
-                        "event bus: event {} cannot be read and its content is not applied: {error}",
+                        "event bus: event {} cannot be read, its content is not applied: {error}",
                         value["offset"]
                     )
                 }
--- a/crates/proxy/src/event_loop/close_reason.rs
+++ b/crates/proxy/src/event_loop/close_reason.rs
@@ -33,9 +33,9 @@
     PartialRequestLimit,
     /// A connection to a cache server is broken, stalled, or ended in the middle of an answer.
     UpstreamUnusable,
-    /// A cache server is draining or no longer in the endpoint list. Either it is the server of this
-    /// connection and no answer is pending on the connection, or the output buffer contains an
-    /// unwritten attempt for it that can't be removed.
+    /// A cache server is draining or no longer in the endpoint list. Either it is the server of
+    /// this connection and no answer is pending on the connection, or the output buffer contains
+    /// an unwritten attempt for it that can't be removed.
     ServerDrained,
     /// A connection to a cache server is unresponsive and is replaced by another one.
     UpstreamUnresponsive,
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -94,11 +94,11 @@
 
     /// Applies a purge for as long as the proxy runs, and stores it across restarts. Such a purge
     /// is permanent because no other component enforces it. Returns whether nothing is left to be
-    /// written: true if the purge is on disk, if no purge log is configured, or if the purge was
-    /// refused because the request table has no room for it.
+    /// written: true if the purge is on disk, if no purge log is configured, if the purge is too
+    /// long to be encoded, or if it was refused because the request table has no room for it.
     pub(super) fn purge_permanently(&mut self, now: Micros, purge: Purge) -> bool {
-        // A peer's timestamp may be wrong, so the purge takes effect from `now`. The purge log keeps
-        // the original time.
+        // A peer's timestamp may be wrong, so the purge takes effect from `now`. The purge log
+        // keeps the original time.
         let (object, group) = (purge.object.clone(), purge.group);
         let is_in_force = self
             .request_table
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Returns whether the `abort` was written at least `cancellation_report_delay_us` ago, so that it has had
-    /// time to arrive.
+    /// Returns whether the `abort` was written at least `cancellation_report_delay_us` ago, so that
+    /// it has had time to arrive.
     fn is_due(&self, now: Micros, cancellation_report_delay_us: Micros) -> bool {
         self.abort_written_at
             .is_some_and(|abort_written_at| abort_written_at + cancellation_report_delay_us <= now)
