--- a/crates/routing/src/estimate/rendezvous.rs
+++ b/crates/routing/src/estimate/rendezvous.rs
@@ -9,7 +9,7 @@
 /// Returns the rendezvous score of a server for a key. The server with the lowest score is first in
 /// the order. A server is first for a share of the keys that is proportional to its weight.
 pub(crate) fn score(key: u64, server: u64, weight: f64) -> f64 {
-    let hash = hash::finalize(key ^ hash::integer(server));
+    let hash = hash::finalize(key ^ hash::of_integer(server));
     let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -uniform.ln() / weight.max(MIN_WEIGHT)
 }
--- a/crates/routing/src/estimate/tests.rs
+++ b/crates/routing/src/estimate/tests.rs
@@ -125,9 +125,9 @@
 /// Guards against objects or parts that share their request counts and purges.
 #[test]
 fn different_texts_and_parts_have_different_hashes() {
-    let object = hash::text("/o/film");
-    assert_ne!(object, hash::text("/o/films"));
-    assert_ne!(hash::part(object, 0), hash::part(object, 1));
+    let object = hash::of_text("/o/film");
+    assert_ne!(object, hash::of_text("/o/films"));
+    assert_ne!(hash::of_part(object, 0), hash::of_part(object, 1));
 }
 
 /// Guards against an underestimated load: this sender sees only the part that it sends itself.
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -30,7 +30,8 @@
     pub cell: u64,
     /// Name of the server's kind.
     pub kind: String,
-    /// The server's capacity; see [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities).
+    /// The capacity of the server's link in transfers at full rate. Not used unless
+    /// [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities) is set.
     pub weight: f64,
     /// The server's lifecycle state.
     pub state: EndpointState,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -3,10 +3,12 @@
 //! cached, and how failures are handled.
 //!
 //! The library is sans-IO. A proxy passes events to a [`Router`] and carries out the actions that
-//! it returns. The current time is the `now` of each call, and all randomness comes from the seed.
+//! it returns. The current time is the `now` of each call, in microseconds on the caller's clock.
+//! All randomness comes from the seed.
 //!
-//! The module `policy` contains all decisions and tuning constants, `state` the facts that they are
-//! based on, and `estimate` the statistics, which depend on neither of them.
+//! The module `policy` contains all decisions and tuning constants. The module `state` contains the
+//! facts that the decisions are based on. The module `estimate` contains the statistics and depends
+//! on neither `policy` nor `state`.
 //!
 //! ```
 //! use edge_routing::*;
@@ -117,7 +119,8 @@
 //!     }
 //! ));
 //!
-//! // The attempt ends with the client's answer, so the router requests no further action.
+//! // The server's answer ends the attempt and was passed on to the client, so the router requests
+//! // no further action.
 //! actions.clear();
 //! let outcome = Event::AttemptEnded(AttemptReport {
 //!     request: 7,
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -174,7 +174,7 @@
         let allowed = self.may_attempt(now, request);
         let pick = || Selection::new(self, now, request).pick_target();
         match allowed.then(pick).flatten() {
-            Some(target) => self.send(now, id, target),
+            Some(target) => self.start_attempt(now, id, target),
             None => self.reject_or_fail(id),
         }
     }
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -5,10 +5,11 @@
 use crate::settings::{DedupScope, Micros, PeerFill};
 use crate::state::{RankedServers, RequestState, ServerState, Target};
 
-/// Lower bound of the total request count that an object's popularity is relative to. Without it,
-/// the first objects that are requested would count as hot.
+/// Lower bound of the total decayed request count when the share of an object in it is computed.
+/// Without this bound, the first objects that are requested would count as hot.
 const MIN_TOTAL_REQUEST_COUNT: f64 = 50.0;
-/// Number of failed fills after which a request is served from cached copies only.
+/// Weighted number of failed fills from which on a request is served from cached copies only. A
+/// failure of unknown cause counts as two failed fills.
 const MAX_FAILED_FILLS: u32 = 2;
 /// The second parent is used while fills from the first take this many times as long for their size
 /// as fills from the second.
@@ -44,7 +45,7 @@
     }
 
     /// Returns how many caches should hold a copy of the object. The object's share of the caches
-    /// is its share of all requests, rounded up to at least one cache.
+    /// equals its share of all recent requests. The number is rounded up and is at least one.
     fn copy_count(&self) -> usize {
         let total_requests = self.router.popularity.total_requests(self.now);
         let share = self.request.object_request_count / total_requests.max(MIN_TOTAL_REQUEST_COUNT);
@@ -52,50 +53,61 @@
         copy_count.ceil().max(1.0) as usize
     }
 
-    /// Picks a cache uniformly at random among those that should hold a copy and are not full. If
-    /// there is none, picks the next cache in the rendezvous order that is not full. Returns None
-    /// if no cache can be used.
+    /// Picks a cache uniformly at random among the usable ones that should hold a copy. If there
+    /// is none, picks the next usable cache in the rendezvous order. A cache is usable if it has
+    /// not failed the request, is available, may receive the request by the rules and is expected
+    /// to answer in time. Returns None if no cache is usable, or if the request needs a fill and
+    /// there is no fill source.
     fn pick_cache(&self) -> Option<Target> {
         let tried = &self.request.failed_servers;
         let usable = |cache: &&ServerState| !tried.contains(&cache.id) && self.can_serve(cache);
         let (caches, copy_count) = (self.ranked.caches.iter().copied(), self.copy_count());
-        let holders: Vec<_> = caches.clone().take(copy_count).filter(usable).collect();
-        let cache = if holders.is_empty() {
+        let usable_holders: Vec<_> = caches.clone().take(copy_count).filter(usable).collect();
+        let cache = if usable_holders.is_empty() {
             caches.skip(copy_count).find(usable)?
         } else {
-            holders[self.router.random.index(holders.len())]
+            usable_holders[self.router.random.index(usable_holders.len())]
         };
         let peer = self.pick_peer(cache);
         self.read_target(cache, peer.or_else(|| self.pick_source()))
     }
 
-    /// Returns the target for a read, or None if the read has missed before and there is no source
-    /// to fill it from.
+    /// Returns the target for a read. Returns None if an earlier attempt without a fill source has
+    /// found no copy and there is still no source, because a cache without a copy is then of no
+    /// use.
     fn read_target(&self, cache: &ServerState, source: Option<&ServerState>) -> Option<Target> {
         let is_useful = source.is_some() || !self.request.needs_fill;
         is_useful.then(|| Target::new(cache, source))
     }
 
-    /// Picks another cache as the fill source, which saves transfers on the location's link. A
-    /// cache that is not the first in the rendezvous order, or that is warming up, is filled from
-    /// the cache that most likely holds a copy. Returns None if no peer fill is possible or useful.
+    /// Picks another cache as the fill source, which saves transfers on the location's link. The
+    /// source is the first other cache in the rendezvous order, which most likely holds a copy. It
+    /// is used only if `cache` itself may lack a copy, because it is not the first in the
+    /// rendezvous order or is warming up. Returns None if peer fills are switched off, if there is
+    /// no other cache, if `cache` most likely holds a copy, or if the source has failed a fill for
+    /// the request, is warming up or cannot serve the fill.
     fn pick_peer(&self, cache: &ServerState) -> Option<&'a ServerState> {
         let mut caches = self.ranked.caches.iter().copied();
         let first = self.ranked.caches.first()?;
         let peer = caches.find(|peer| peer.id != cache.id)?;
-        let lacks_copy = first.id != cache.id || cache.is_warming_up(self.now);
+        let may_lack_copy = first.id != cache.id || cache.is_warming_up(self.now);
         let enabled = self.router.settings.peer_fill != PeerFill::Off;
-        let wanted = enabled && lacks_copy && !self.request.has_failed_source(peer.id);
+        let wanted = enabled && may_lack_copy && !self.request.has_failed_source(peer.id);
         let usable = wanted && !peer.is_warming_up(self.now) && self.can_serve(peer);
         usable.then_some(peer)
     }
 
-    /// Picks a parent or the origin as the fill source, or returns None if there is no usable one.
+    /// Picks a parent or the origin as the fill source.
     ///
     /// The source is the first available parent in the rendezvous order, or the second while the
-    /// first is clearly slower. The origin is used only while no parent can be reached: when the
-    /// origin is slow or down, the fills of all parents fail, and trying one source after another
-    /// would keep it down.
+    /// first is clearly slower. If no parent is available, it is the first ejected one. The origin
+    /// is used only if every parent is unreachable or there is none: when the origin is slow or
+    /// down, the fills of all parents fail, and trying one source after another would keep the
+    /// origin down.
+    ///
+    /// Returns None if too many fills of the request have failed, if the location's link is full,
+    /// or if there is no source that has not failed a fill for the request and may receive the
+    /// fill by the rules.
     fn pick_source(&self) -> Option<&'a ServerState> {
         if self.request.failed_fills >= MAX_FAILED_FILLS || self.link_is_full() {
             return None;
@@ -119,53 +131,56 @@
     }
 
     /// Picks the target of a write, which runs at the origin. The write is sent to the origin
-    /// directly where that is allowed, otherwise through a cache. Returns None if no server may
-    /// receive it.
+    /// directly where that is allowed, otherwise through a cache. If an earlier attempt may have
+    /// run, only servers that would drop the repeat may receive the write. Returns None if no
+    /// server may receive it.
     fn pick_for_write(&self) -> Option<Target> {
         let scope = self.router.class(self.request).dedup_scope;
-        let drops_repeats = |server: &ServerState| {
+        let repeat_is_safe_at = |server: &ServerState| {
             self.request
                 .first_possible_execution
-                .is_none_or(|run| match scope {
+                .is_none_or(|execution| match scope {
                     DedupScope::All => true,
-                    DedupScope::Zone => server.zone_index == run.zone_index,
-                    DedupScope::Cell => server.cell == run.cell,
+                    DedupScope::Zone => server.zone_index == execution.zone_index,
+                    DedupScope::Cell => server.cell == execution.cell,
                 })
         };
         // A write can run only at the origin, so it is sent there even while the origin is ejected.
         let origin = self.ranked.origin?;
-        if self.router.settings.direct_requests && drops_repeats(origin) {
+        if self.router.settings.direct_requests && repeat_is_safe_at(origin) {
             return Some(Target::new(origin, None));
         }
         let mut caches = self.ranked.caches.iter().copied();
         let usable = |cache: &ServerState| cache.is_available(self.now) && self.rules_allow(cache);
-        let cache = caches.find(|cache| drops_repeats(cache) && usable(cache))?;
+        let cache = caches.find(|cache| repeat_is_safe_at(cache) && usable(cache))?;
         Some(Target::new(cache, Some(origin)))
     }
 
-    /// Picks a target for a read when no available cache would serve it in time. Returns None if
+    /// Picks a target for a read for which [`Self::pick_cache`] has found none. Returns None if
     /// there is no target.
     ///
-    /// If no cache is available at all, the target is the first available parent where direct
-    /// requests are allowed. Otherwise it is the first reachable cache that would serve the request
-    /// in time, ejected or not: when ejections leave no cache available, they indicate overload
-    /// rather than faults of single servers.
+    /// The target is the first available parent if no cache is available at all, direct requests
+    /// are allowed, the origin has not failed a fill for the request, and the location's link is
+    /// not full. Otherwise it is the first reachable cache that would serve the request in time,
+    /// ejected or not: when ejections leave no cache available, they indicate overload rather than
+    /// faults of single servers. Servers that have failed the request or may not receive it by the
+    /// rules are left out.
     fn pick_last_resort(&self) -> Option<Target> {
         let (caches, origin) = (&self.ranked.caches, self.ranked.origin);
         let tried = &self.request.failed_servers;
-        let untried =
+        let may_receive =
             |server: &&&ServerState| !tried.contains(&server.id) && self.rules_allow(server);
         let origin_failed = origin.is_some_and(|origin| self.request.has_failed_source(origin.id));
         let cache_available = caches.iter().any(|cache| cache.is_available(self.now));
         let direct = self.router.settings.direct_requests && !cache_available && !origin_failed;
         if direct && !self.link_is_full() {
-            let mut parents = self.ranked.parents.iter().filter(untried);
+            let mut parents = self.ranked.parents.iter().filter(may_receive);
             if let Some(parent) = parents.find(|parent| parent.is_available(self.now)) {
                 return Some(Target::new(parent, origin));
             }
         }
-        let untried = caches.iter().filter(untried);
-        let mut reachable = untried.filter(|cache| !cache.unreachable);
+        let candidates = caches.iter().filter(may_receive);
+        let mut reachable = candidates.filter(|cache| !cache.unreachable);
         let cache = reachable.find(|cache| self.serves_in_time(cache))?;
         self.read_target(cache, self.pick_source())
     }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -10,24 +10,25 @@
 
 /// Shortest time in which an attempt can be answered.
 const MIN_ATTEMPT_US: Micros = 5_000;
-/// Number of servers that fail a request without a reason before the request counts as being at
-/// fault.
+/// Number of attempts of a request that may fail with an error without a reason. After that many,
+/// the request itself is assumed to cause the errors and is not attempted again.
 const MAX_SERVER_ERRORS: u32 = 2;
 /// Decayed request count at which a part counts as requested repeatedly. Its copies get a higher
 /// retention rank, so that a scan of objects that are requested once does not evict them.
 const REPEATED_REQUEST_COUNT: f64 = 1.3;
 /// Time that an answer takes besides its transfer.
 pub(super) const ANSWER_OVERHEAD_S: f64 = 0.02;
-/// Initial estimate of the usual transfer time of a class, as a share of its latency objective.
+/// Initial estimate of the typical transfer time of a class, as a share of its latency objective.
 const INITIAL_TRANSFER_TIME_SHARE: f64 = 0.5;
-/// Lower bound of the weight of one request in the usual transfer time of its class.
+/// Lower bound of the weight of one request in the typical transfer time of its class.
 const MIN_TRANSFER_TIME_SAMPLE_WEIGHT: f64 = 0.01;
 /// Lower bound of the measured transfer time of an answer of unknown size.
 const MIN_MEASURED_TRANSFER_S: f64 = 0.001;
 /// Share of the answers of a class that count as slow.
 const SLOW_ANSWER_SHARE: f64 = 0.02;
-/// Largest relative change of the slow ratio by one answer. The slow ratio is the time after which
-/// an answer counts as slow, divided by the baseline of its class.
+/// The slow ratio of a class is the time after which an answer counts as slow, divided by a
+/// baseline that includes the typical transfer time of the class. This constant is the largest
+/// relative change of the slow ratio by one answer.
 const SLOW_RATIO_STEP: f64 = 0.2;
 /// Slow ratio before any answer was received.
 const INITIAL_SLOW_RATIO: f64 = 4.0;
@@ -36,12 +37,14 @@
 const STALL_SLOW_FACTOR: f64 = 2.2;
 /// How often the time until an attempt counts as stalled is doubled at most.
 const MAX_STALL_DOUBLINGS: u32 = 4;
-/// Longest time that an attempt is expected to take besides transfers.
-const MAX_EXPECTED_OVERHEAD_S: f64 = 0.25;
-/// Largest number of its own transfer times that an attempt is expected to take.
-const MAX_EXPECTED_TRANSFER_TIMES: f64 = 2.0;
-/// Time after the purge of a group during which all requests may wait for fills. The parts of the
-/// group are filled again one by one, as they are requested.
+/// Time besides transfers after which an attempt is late, unless a group was purged recently.
+const EXPECTED_OVERHEAD_S: f64 = 0.25;
+/// Factor on the transfer time that a request needs on a link that it does not share. The product
+/// is the transfer time after which an attempt is late, unless a group was purged recently.
+const EXPECTED_TRANSFER_TIMES: f64 = 2.0;
+/// Time after the router was notified of the purge of a group during which attempts of all
+/// requests may wait long for fills. The parts of the group are filled again one by one, as they
+/// are requested, and their fills share the link and the origin with all other fills.
 const GROUP_REFILL_US: Micros = 20_000_000;
 
 /// Returns the latency estimate of a class before any answer was received.
@@ -76,9 +79,14 @@
             && request.server_errors < MAX_SERVER_ERRORS
     }
 
-    /// Sends a request to a server and returns the action for it, or None if there is no such
-    /// request.
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, target: Target) -> Option<Action> {
+    /// Records a new attempt of a request at a target and returns the action that starts the
+    /// attempt. Returns None if there is no such request.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        target: Target,
+    ) -> Option<Action> {
         let request = self.requests.get(id)?;
         let (class, charge_s) = (self.class(request), self.slow_start_charge_s(request));
         let attempt = self.new_attempt(now, request, target);
@@ -116,18 +124,19 @@
         }
     }
 
-    /// Returns when an attempt that is sent now exceeds its expected latency. After the purge of a
-    /// group all attempts may wait for the origin, so only slow attempts exceed it then.
+    /// Returns when an attempt that is sent now becomes late. For a while after the purge of any
+    /// group, all attempts may wait for the origin. An attempt is then late only if it is also
+    /// slow.
     fn expected_by(&self, now: Micros, request: &RequestState, slow_s: f64) -> Micros {
-        let mut expected_s =
-            MAX_EXPECTED_OVERHEAD_S + MAX_EXPECTED_TRANSFER_TIMES * request.transfer_s;
+        let mut expected_s = EXPECTED_OVERHEAD_S + EXPECTED_TRANSFER_TIMES * request.transfer_s;
         if self.purges.any_group_purged_within(now, GROUP_REFILL_US) {
             expected_s = expected_s.max(slow_s);
         }
         now + (expected_s * 1e6) as Micros
     }
 
-    /// Returns how the server fills a miss and which copy it keeps.
+    /// Returns the fill instruction for an attempt, which includes the fill source, the maximum
+    /// age of a copy and the retention rank.
     fn new_fill(&self, now: Micros, id: RequestId, request: &RequestState, target: Target) -> Fill {
         let class = self.class(request);
         let server = self.servers.get(target.server);
@@ -139,7 +148,8 @@
             self.purges
                 .time_since_purge_us(now, request.object_hash, request.purge_group);
         let lifetime_us = class.lifetime_us();
-        // The draw is the same for all attempts of a request, so retries get no additional chance.
+        // The draw is the same for all attempts of a request, so retries get no additional chance
+        // of a fill from the origin.
         let admitted = self
             .origin_admission
             .admits(hash::uniform_fraction(self.seed, id));
@@ -154,8 +164,10 @@
         }
     }
 
-    /// Cancels attempts that stalled or whose server or source is ejected as unresponsive, so that
-    /// their requests can be sent elsewhere.
+    /// Cancels stuck attempts, so that their requests can be sent elsewhere. An attempt is stuck if
+    /// it has stalled, or if it is late and its server or fill source is ejected and has had no
+    /// success since the attempt was sent. Only attempts of idempotent classes whose answer is not
+    /// being streamed are cancelled, and only where cancellation is allowed.
     pub(super) fn cancel_stuck_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let classes = &self.settings.classes;
         for (id, request) in self.requests.iter_mut() {
@@ -190,8 +202,8 @@
     }
 }
 
-/// Returns when an attempt that is sent now counts as stalled. Sharing of links does not explain a
-/// longer duration.
+/// Returns when an attempt that is sent now counts as stalled. A longer duration cannot be
+/// explained by other transfers that share the link.
 fn stalls_at(now: Micros, request: &RequestState, slow_s: f64) -> Micros {
     let doublings = request.stalled_attempts.min(MAX_STALL_DOUBLINGS);
     let stall_time_s = STALL_SLOW_FACTOR * slow_s * f64::from(1 << doublings);
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -41,7 +41,8 @@
     pub name: String,
     /// An answer within this time counts with the full priority weight.
     pub latency_objective_us: Micros,
-    /// The latency objective is extended by this multiple of the request's own transfer time.
+    /// Multiple of the request's transfer time by which the latency objective is extended. The
+    /// transfer time is the time that the transfer takes if it shares no link.
     pub objective_per_transfer_time: f64,
     /// Longest time until clients give up.
     pub deadline_us: Micros,
@@ -55,8 +56,8 @@
     pub dedup_scope: DedupScope,
     /// How long repeats are dropped, for classes with an idempotency key.
     pub dedup_window_us: Micros,
-    /// Whether the answer is a stream. Once a stream has begun, the client receives it, so its
-    /// attempt is no longer cancelled or replaced.
+    /// Whether the answer is a stream. Once a stream has begun, it belongs to the client, so the
+    /// router no longer cancels its attempt.
     pub streaming: bool,
     /// Whether objects of the class have several parts.
     pub multipart: bool,
--- a/crates/routing/src/state/purges.rs
+++ b/crates/routing/src/state/purges.rs
@@ -51,7 +51,7 @@
         if object.is_none() {
             self.last_group_purge_notified_at = Some(now);
         }
-        let key = object.map_or(group_key(group), hash::text);
+        let key = object.map_or(group_key(group), hash::of_text);
         let purge = self.purges.entry(key).or_insert(Purge {
             purged_at,
             permanent: false,
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Moves the times of all purges that are not permanent back by `by_us` microseconds. The times
-    /// of permanent purges come from this router's own clock and need no correction.
+    /// Moves the times of all purges that are not permanent back by `by_us` microseconds, because
+    /// the purges that the servers were notified of turned out to lie further in the past. The
+    /// times of permanent purges come from this router's own clock and need no correction.
     pub(crate) fn move_purge_times_back(&mut self, by_us: Micros) {
         let temporary = self.purges.values_mut().filter(|purge| !purge.permanent);
         for purge in temporary {
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -156,11 +156,11 @@
         transfer_s: f64,
     ) -> Self {
         let size_allowance_us = (class.objective_per_transfer_time * transfer_s * 1e6) as Micros;
-        let object_hash = hash::text(&request.object);
+        let object_hash = hash::of_text(&request.object);
         RequestState {
             class_index,
             object_hash,
-            part_hash: hash::part(object_hash, request.part),
+            part_hash: hash::of_part(object_hash, request.part),
             purge_group: request.group,
             transfer_s,
             objective_deadline: now + class.latency_objective_us + size_allowance_us,
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -350,7 +350,8 @@
         }
     }
 
-    /// Moves the start times of all servers back by `by_us` microseconds.
+    /// Moves the start times of all servers back by `by_us` microseconds, because the starts turned
+    /// out to lie further in the past.
     pub(crate) fn move_start_times_back(&mut self, by_us: Micros) {
         for server in self.servers.values_mut() {
             if let Some(started_at) = &mut server.started_at {
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -386,7 +386,7 @@
 #[test]
 fn the_latest_purge_of_an_object_or_its_group_is_found() {
     let mut purges = PurgeTable::new(8);
-    let object = hash::text("/o/film");
+    let object = hash::of_text("/o/film");
     assert_eq!(purges.time_since_purge_us(50, object, 4), None);
     purges.record(50, Some("/o/film"), 4, 20, false);
     purges.record(50, Some("/o/film"), 4, 10, false);
@@ -413,7 +413,7 @@
     let mut purges = PurgeTable::new(2);
     let is_recorded = |purges: &PurgeTable, object: &str| {
         purges
-            .time_since_purge_us(100, hash::text(object), 0)
+            .time_since_purge_us(100, hash::of_text(object), 0)
             .is_some()
     };
     purges.record(1, Some("/o/kept"), 0, 1, true);
