--- a/crates/soak/src/cache_server.rs
+++ b/crates/soak/src/cache_server.rs
@@ -43,7 +43,8 @@
     aborted_ids: HashSet<String>,
 }
 
-/// A simulated server at a fixed address. A new process with another id may take over the address.
+/// A simulated cache server, or the origin, at a fixed address. In the endpoint list, a new server
+/// with another id may take over the address of a cache server.
 #[derive(Clone)]
 pub struct CacheServer {
     address_index: usize,
@@ -56,6 +57,7 @@
     id: String,
     class: String,
     object: u64,
+    /// The purge group of the object, from the record of the request; 0 if there is no record.
     group: u64,
     fill_source: Option<String>,
     max_age_ms: Option<u64>,
@@ -84,7 +86,8 @@
             while let Ok((socket, _)) = listener.accept().await {
                 let server = server_task.clone();
                 tokio::task::spawn_local(async move {
-                    // Errors are ignored: requests on a broken connection end with it.
+                    // Errors are ignored. A read error or invalid input ends the reading from this
+                    // connection; answers that are being prepared are still sent if possible.
                     let _ = server.serve(socket).await;
                 });
             }
@@ -97,7 +100,8 @@
         self.state.borrow_mut().behavior = behavior;
     }
 
-    /// Restarts the server's process with an empty cache and normal behavior.
+    /// Empties the cache and sets the behavior to normal, as a restart of the server's process
+    /// would. Does not close connections, and answers that are being prepared are still sent.
     pub fn restart(&self) {
         let mut state = self.state.borrow_mut();
         state.behavior = Behavior::Normal;
@@ -161,9 +165,10 @@
             max_age_ms: number("maxage").filter(|max_age_ms| *max_age_ms > 0),
         };
         let behavior = self.state.borrow().behavior;
-        let is_miss =
+        // Requests that are not reads run at the origin.
+        let cannot_reach_origin =
             fetch.class != class::READ && self.address_index != 0 && fetch.fill_source.is_none();
-        let was_started = behavior != Behavior::Overloaded && !is_miss;
+        let was_started = behavior != Behavior::Overloaded && !cannot_reach_origin;
         self.record_attempt(&fetch, number("wait").unwrap_or(0), was_started);
         let (server, writer) = (self.clone(), writer.clone());
         self.state.borrow_mut().aborted_ids.remove(&fetch.id);
@@ -236,7 +241,8 @@
     }
 
     /// Returns the copy with which to answer a request, and fills it first if necessary. Returns
-    /// `None` for a cache miss without a fill source.
+    /// `None` for a cache miss without a fill source, and for a request that must run at the origin
+    /// but names no fill source through which a cache server reaches the origin.
     fn copy_for(&self, fetch: &Fetch) -> Option<CachedCopy> {
         let run_state = self.run_state.borrow();
         let now_unix_ms = run_state.now_unix_ms();
@@ -267,8 +273,8 @@
                         Some(object) => object == fetch.object,
                         None => purge.group == fetch.group,
                     };
-                    // Each server removes purged copies after its own delay. The slowest ones need
-                    // the whole time.
+                    // Each server removes purged copies after its own delay. The slowest ones take
+                    // the whole `PURGE_COMPLETION_MS`.
                     let delay_ms = PURGE_COMPLETION_MS * (self.address_index as u64 % 4) / 3;
                     is_purge_target
                         && *created_unix_ms < purge.purged_unix_ms
@@ -298,6 +304,8 @@
 
 struct CachedCopy {
     created_unix_ms: u64,
+    /// How the server got the copy, in the words of the protocol: `local` if the server had it, and
+    /// `pulled_far` if it came from the origin.
     how: &'static str,
     duration_ms: std::ops::Range<u64>,
 }
--- a/crates/soak/src/campaign.rs
+++ b/crates/soak/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Runs the plans of many seeds, several in parallel, and adds up the results.
+//! Runs a campaign: the plans of a range of seeds, several in parallel. Adds up their results.
 
 use crate::plan::Plan;
 use crate::violation::{Rule, Violation};
@@ -17,12 +17,13 @@
 pub struct CampaignOptions {
     /// The seeds whose plans are run.
     pub seeds: SeedRange,
-    /// The number of plans that run in parallel.
+    /// The number of plans that run in parallel. Limited to 1 to 20.
     pub jobs: usize,
     /// Whether violations of rules that depend on timing count.
     pub judge_timing: bool,
-    /// The folder for the logs of all seeds. If it is `None`, only logs of seeds with violations
-    /// are kept, in the temporary folder of the system.
+    /// The folder for the logs of all seeds. If it is `None`, logs are written to the temporary
+    /// folder of the system, and those of a seed are removed if its run was completed without a
+    /// violation.
     pub logs: Option<PathBuf>,
 }
 
@@ -53,7 +54,8 @@
 /// The maximum number of violations that are printed for a seed.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
 
-/// Runs a campaign and prints its report. Fails if a seed has a violation or was not run.
+/// Runs a campaign and prints its report. Fails if a rule was violated, if a run could not be
+/// completed or if a seed was not run.
 pub fn run(options: &CampaignOptions) -> ExitCode {
     let seeds = Mutex::new(options.seeds.0.clone());
     let totals = Mutex::new(Totals::default());
@@ -89,7 +91,7 @@
 /// A set of loopback addresses that no other run uses, in this campaign or in another.
 struct Slot {
     number: u8,
-    /// Reserves the slot: the address stays bound for as long as the slot is in use.
+    /// Reserves the slot, because its address stays bound for as long as the slot is in use.
     _lock: TcpListener,
 }
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -18,19 +18,22 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the plans of a range of seeds and report rule violations. Exits with 1 if there are any.
+    /// Run the plans of a range of seeds and report rule violations. Exits with 1 if a rule was
+    /// violated, a run could not be completed or not all seeds were run.
     Run {
-        /// A single seed, or the first and the last seed of a range as in 1..100.
+        /// A single seed, or a range of seeds as in 1..100. The range includes both of its ends.
         #[arg(long, default_value = "1..20")]
         seeds: SeedRange,
-        /// The number of plans that run in parallel.
+        /// The number of plans that run in parallel. Values below 1 count as 1, and values above 20
+        /// as 20.
         #[arg(long, default_value_t = 4)]
         jobs: usize,
         /// Ignore violations of rules that depend on timing. For machines that may be busy.
         #[arg(long)]
         no_timing_verdicts: bool,
-        /// Keep the logs of all proxies in this folder, including those of seeds without a
-        /// violation.
+        /// Keep the logs of all seeds in this folder. Without this option, logs are written to the
+        /// temporary folder of the system, and those of a seed are removed if its run was completed
+        /// without a violation.
         #[arg(long)]
         logs: Option<PathBuf>,
     },
@@ -39,8 +42,8 @@
         /// The seed of the plan.
         seed: u64,
     },
-    /// Run as an edge proxy with the fault plan of the environment. Started by `run`; not meant for
-    /// direct use.
+    /// Run as an edge proxy with the fault plan in the environment variable EDGE_PROXY_FAULT_PLAN.
+    /// Started by `run`; not meant for direct use.
     #[command(hide = true)]
     Proxy,
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -39,8 +39,8 @@
     pub published_ms: u64,
 }
 
-/// A purge that a proxy accepted through its interconnect. Only this proxy knows of it, so the
-/// proxy has to persist it.
+/// A purge that a proxy accepted through its interconnect. The proxies of a run do not
+/// exchange purges, so only this proxy knows of the purge and has to persist it.
 #[derive(Clone, Debug)]
 pub struct InterconnectPurge {
     /// The index of the proxy.
@@ -72,7 +72,7 @@
     pub state: &'static str,
 }
 
-/// A request of an ordinary client.
+/// A request of a client that follows the protocol, unlike those in [`crate::bad_client`].
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// The index of the proxy that got the request.
@@ -118,10 +118,10 @@
     pub was_started: bool,
 }
 
-/// Totals of one run, or of all runs of a campaign.
+/// Totals of one run, or of all runs of a campaign, which is a range of seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Requests of ordinary clients.
+    /// Requests of clients that follow the protocol.
     pub requests: u64,
     /// Requests that were answered with status 200.
     pub served: u64,
@@ -141,7 +141,8 @@
     pub purges: u64,
     /// Purges that proxies accepted through their interconnect.
     pub interconnect_purges: u64,
-    /// Times at which the run itself was stalled for so long that timing was not judged.
+    /// How often this test program was not scheduled in time. Rules that are judged by time are not
+    /// checked around these moments.
     pub harness_stalls: u64,
 }
 
@@ -149,7 +150,8 @@
 pub struct RunState {
     /// The plan of the run.
     pub plan: Plan,
-    /// The slot of the campaign, which determines the addresses of the run.
+    /// The number of the run's slot, which is a set of loopback addresses that no other run uses at
+    /// the same time.
     pub slot: u8,
     start: Instant,
     start_unix_ms: u64,
@@ -170,7 +172,8 @@
     /// Processes that were killed or that aborted as planned: the index of the proxy, and when, in
     /// milliseconds of the run.
     pub abrupt_exits: Vec<(usize, u64)>,
-    /// When the run itself was stalled, in milliseconds of the run.
+    /// When this test program was found not to have been scheduled in time, in milliseconds of the
+    /// run.
     pub harness_stalls_ms: Vec<u64>,
     /// The violations that were reported during the run.
     pub violations: Vec<Violation>,
@@ -221,8 +224,8 @@
         self.start_unix_ms + self.now_ms()
     }
 
-    /// Adds a server at an address and returns its index. The endpoint list does not show it until
-    /// its entry is published.
+    /// Adds a server at an address and returns its index. `started` becomes [`Server::started`].
+    /// Proxies learn of the server when its entry of the endpoint list is published.
     pub fn add_server(&mut self, address_index: usize, started: Option<(u64, usize)>) -> usize {
         let uid = format!("s-{:08x}", self.next_uid_number);
         self.next_uid_number += 1;
@@ -320,7 +323,7 @@
         self.publish(json!({ "ban": ban }));
     }
 
-    /// Returns the events that the configuration of a proxy contains if the proxy starts now: the
+    /// Returns the events for the configuration file of a proxy that starts or reloads now: the
     /// whole endpoint list, and the purges that cache servers may not have completed yet.
     pub fn known_events(&self) -> Value {
         let targets: Vec<Value> = (0..self.servers.len())
@@ -337,6 +340,7 @@
                 event.published_ms + crate::deployment::PURGE_COMPLETION_MS >= now_ms;
             if is_purge_in_progress && !event.event["ban"].is_null() {
                 let mut event = event.event.clone();
+                // Every event of the configuration has the number of the last published event.
                 event["offset"] = json!(offset);
                 batch.push(event);
             }
@@ -362,13 +366,13 @@
         self.violations.push(violation);
     }
 
-    /// Returns whether the run itself was stalled within 500 ms of an interval. Timing in that
-    /// interval can't be judged.
+    /// Returns whether this test program was not scheduled in time at some moment of an interval or
+    /// within 500 ms of it. Rules that are judged by time are not checked in such an interval.
     pub fn was_harness_stalled(&self, from_ms: u64, until_ms: u64) -> bool {
-        let judged_window = from_ms.saturating_sub(500)..=until_ms + 500;
+        let widened_interval = from_ms.saturating_sub(500)..=until_ms + 500;
         self.harness_stalls_ms
             .iter()
-            .any(|at_ms| judged_window.contains(at_ms))
+            .any(|at_ms| widened_interval.contains(at_ms))
     }
 }
 
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,5 +1,5 @@
-//! A plan has to depend on its seed alone, and the seeds together have to cover every kind of
-//! fault.
+//! Tests that a plan depends on its seed alone, and that the plans of many seeds together cover
+//! every kind of fault.
 
 use edge_soak::plan::Plan;
 use edge_soak::SeedRange;
@@ -29,18 +29,23 @@
 ];
 
 #[test]
-fn a_seed_gives_the_same_plan_every_time() {
+fn a_seed_always_gives_the_same_plan_and_the_next_seed_gives_other_faults() {
     for seed in 0..50 {
-        assert_eq!(Plan::from_seed(seed), Plan::from_seed(seed));
+        assert_eq!(
+            Plan::from_seed(seed),
+            Plan::from_seed(seed),
+            "two plans of seed {seed} differ"
+        );
         assert_ne!(
             Plan::from_seed(seed).faults,
-            Plan::from_seed(seed + 1).faults
+            Plan::from_seed(seed + 1).faults,
+            "seed {seed} and the next one give the same faults"
         );
     }
 }
 
 #[test]
-fn the_plans_of_500_seeds_have_overlapping_faults_of_every_kind() {
+fn the_plans_of_500_seeds_have_faults_of_every_kind_and_many_overlaps() {
     let plans: Vec<Plan> = (1..=500).map(Plan::from_seed).collect();
     let kinds: BTreeSet<&str> = plans
         .iter()
@@ -54,18 +59,22 @@
         .iter()
         .map(|plan| plan.overlapping_pairs().len())
         .sum();
+    // On average more than one pair for each plan.
     assert!(
         overlapping > 500,
-        "only {overlapping} pairs of faults overlap"
+        "only {overlapping} pairs of faults overlap in the plans of 500 seeds"
     );
     let all_plans_are_valid = plans
         .iter()
         .all(|plan| (10..=40).contains(&plan.proxies) && !plan.faults.is_empty());
-    assert!(all_plans_are_valid);
+    assert!(
+        all_plans_are_valid,
+        "a plan has no faults, or not from 10 to 40 proxies"
+    );
 }
 
 #[test]
-fn seeds_are_parsed_from_a_single_seed_or_a_range() {
+fn a_single_seed_and_an_ascending_range_are_parsed_and_other_texts_are_rejected() {
     assert_eq!("7".parse(), Ok(SeedRange(7..=7)));
     assert_eq!("3..9".parse(), Ok(SeedRange(3..=9)));
     assert!("9..3".parse::<SeedRange>().is_err());
