--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -4,9 +4,10 @@
 //!   are fakes of the systems around the proxy. They listen on loopback.
 //! - [`fastcgi_client`] sends requests as a web server does, [`http_client`] as a peer CDN does.
 //! - [`proxy_fixture`] runs the proxy's event loop and the fakes inside a test.
-//! - [`sample_deployment`] defines the deployment that all of them share.
+//! - [`sample_deployment`] defines the settings, configuration and object keys that the tests, the
+//!   fakes and the clients share.
 //! - [`run_scenario`] runs the proxy program through a purge, a drain and a shutdown, and reports
-//!   every violation of a rule.
+//!   every violation of a [`Rule`].
 
 pub mod fake_cache;
 pub mod fake_consul;
--- a/crates/testkit/src/proxy_fixture.rs
+++ b/crates/testkit/src/proxy_fixture.rs
@@ -1,8 +1,8 @@
 //! Runs the proxy's event loop and the fakes around it in the process of a test.
 //!
-//! Most functions panic on errors, because a test would do nothing else with them. If the order of
-//! events matters, a test pauses the event loop, causes events that the proxy is to see at the same
-//! time, and resumes the event loop.
+//! Most functions panic on errors, because a test would do nothing else with them. A test can pause
+//! the event loop, cause several events, and resume the event loop. The proxy then finds all these
+//! events at the same time.
 
 use crate::fake_cache::FakeCacheServer;
 use crate::fake_event_bus::{cache_entry, origin_entry, server_state, FakeEventBus};
@@ -74,7 +74,9 @@
         FastCgiClient::connect(self.fastcgi_address).expect("failed to connect to the proxy")
     }
 
-    /// Pauses the event loop. The proxy sees all events of the pause at once, after it is resumed.
+    /// Pauses the event loop, and returns once it is paused. Requests a reload in which reading the
+    /// configuration blocks until the event loop is to resume. The proxy then finds all events of
+    /// the pause at the same time.
     pub fn pause(&mut self) -> PausedEventLoop {
         let (paused, is_paused) = channel();
         let (resume, resumed) = channel();
@@ -87,8 +89,8 @@
         PausedEventLoop { resume }
     }
 
-    /// Starts a shutdown as SIGTERM does, and waits until the grace period is over in which idle
-    /// clients keep their connections.
+    /// Starts a shutdown as SIGTERM does, and waits for the end of the grace period. The end is
+    /// recognized by the proxy closing the connection of an idle client.
     pub fn shut_down_past_grace_period(&mut self) {
         let mut idle_client = self.connect();
         health_status(&mut idle_client);
@@ -183,8 +185,9 @@
         self
     }
 
-    /// Changes the limits, which otherwise fit the memory and sockets of the configuration. A test
-    /// changes a timeout so that it neither waits for the timeout nor races with it.
+    /// Changes the limits, which are otherwise derived from the memory and sockets in the
+    /// configuration. A test sets a limit so that it is reached soon, or prolongs a timeout so
+    /// that it does not expire during the test.
     pub fn limits(mut self, change: impl FnOnce(&mut Limits) + 'a) -> Self {
         self.change_limits = Box::new(change);
         self
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -1,5 +1,5 @@
-//! A cache server that a test controls step by step. It reads, answers and closes only when the
-//! test calls the corresponding method.
+//! A server that a test controls step by step. It reads, answers and closes only when the test
+//! calls the corresponding method. It serves as a cache server or, with raw bytes, as an event bus.
 
 use crate::received_command::ReceivedCommand;
 use crate::{listen, ANY_LOOPBACK_PORT, MAX_MESSAGE_BYTES, READ_CHUNK_BYTES, TEST_TIMEOUT};
@@ -24,6 +24,7 @@
     input: Vec<u8>,
 }
 
+/// Replaces any error by [`io::ErrorKind::TimedOut`].
 fn timed_out<T>(_: T) -> io::Error {
     io::ErrorKind::TimedOut.into()
 }
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Sends the answer to a request.
+    /// Sends the answer to a request. `fields` is a list of the form `name=value,name=value`.
     pub fn answer(
         &mut self,
         request_id: &str,
@@ -104,7 +105,7 @@
         self.send(&out)
     }
 
-    /// Answers a request with 200 and a cached copy.
+    /// Answers a request with 200 and a cached copy that was created 1 ms after the Unix epoch.
     pub fn answer_ok(&mut self, request_id: &str) -> io::Result<()> {
         self.answer(request_id, "200", "how=local,made=1,etag=t1", "all of it")
     }
@@ -138,7 +139,8 @@
         self.socket.shutdown(Shutdown::Both)
     }
 
-    /// Resets the connection. A linger time of zero makes the close send a reset.
+    /// Resets the connection. Sets the linger time to zero. Closing the socket, at the end of this
+    /// function, then sends a reset.
     pub fn reset(self) -> io::Result<()> {
         let no_linger = Some(Duration::ZERO);
         Ok(sockopt::set_socket_linger(&self.socket, no_linger)?)
