--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -39,8 +39,8 @@
 const MAX_STALL_DOUBLINGS: u32 = 4;
 /// Time besides transfers after which an attempt is late, unless a group was purged recently.
 const EXPECTED_OVERHEAD_S: f64 = 0.25;
-/// Factor on the transfer time that a request needs on a link that it does not share. The product
-/// is the transfer time after which an attempt is late, unless a group was purged recently.
+/// Number of transfer times that are added to [`EXPECTED_OVERHEAD_S`]. The transfer time is that of
+/// a transfer that does not share its link.
 const EXPECTED_TRANSFER_TIMES: f64 = 2.0;
 /// Time after the router was notified of the purge of a group during which attempts of all
 /// requests may wait long for fills. The parts of the group are filled again one by one, as they
@@ -62,7 +62,8 @@
 
 impl Router {
     /// Returns whether a further attempt of a request is allowed. Time and attempts must be left,
-    /// and if an earlier attempt may have taken effect, the request must be safe to repeat.
+    /// and fewer than [`MAX_SERVER_ERRORS`] attempts may have failed without a reason. If an
+    /// earlier attempt may have taken effect, the request must be safe to repeat.
     pub(super) fn may_attempt(&self, now: Micros, request: &RequestState) -> bool {
         let class = self.class(request);
         let repeatable = request.first_possible_execution.is_none_or(|run| {
--- a/crates/soak/src/bad_client.rs
+++ b/crates/soak/src/bad_client.rs
@@ -26,7 +26,7 @@
 ) {
     while is_active() {
         let misbehavior = random.u32(0..6);
-        // The result is ignored: only ordinary clients are judged.
+        // The result is ignored, because the rules apply only to the clients in `crate::client`.
         let _ = timeout(CLIENT_TIMEOUT, misbehave(address, misbehavior, &mut random)).await;
         sleep(PAUSE_BETWEEN_CLIENTS).await;
     }
--- a/crates/soak/src/campaign.rs
+++ b/crates/soak/src/campaign.rs
@@ -27,7 +27,7 @@
     pub logs: Option<PathBuf>,
 }
 
-/// The result of one seed.
+/// The result of the run of one seed's plan.
 struct SeedResult {
     plan: Plan,
     counts: Counts,
@@ -237,7 +237,7 @@
         );
         println!(
             "processes started: {}; purges: {} through the event bus and {} through \
-             interconnects; stalls of the run itself: {}",
+             interconnects; scheduling delays of this test program: {}",
             counts.processes, counts.purges, counts.interconnect_purges, counts.harness_stalls
         );
         println!("faults by kind: {}", format_counts(&self.fault_counts));
--- a/crates/soak/src/client/mod.rs
+++ b/crates/soak/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The ordinary clients of one proxy: web servers that keep a few connections open, send requests
-//! on them, and sometimes cancel requests.
+//! The clients of one proxy that follow the protocol. Like web servers, they keep a few connections
+//! open, send requests on them, and sometimes cancel requests.
 
 mod connection;
 
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -42,7 +42,7 @@
 const INTERCONNECT_PURGE_INTERVAL: Duration = Duration::from_millis(120);
 /// The interval at which the run checks itself and its processes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// A check that is late by more than this means that the machine stalled the run.
+/// A check that is late by more than this means that this test program was not scheduled in time.
 const STALL_THRESHOLD: Duration = Duration::from_millis(80);
 /// The time between the reset of a server's connections and its draining.
 const DRAIN_DELAY_AFTER_RESET: Duration = Duration::from_millis(250);
@@ -70,7 +70,7 @@
     bus_mode: BusModeSender,
 }
 
-/// Runs a plan in a slot of the campaign and returns the final state of the run. The files of the
+/// Runs a plan on the addresses of a slot and returns the final state of the run. The files of the
 /// run are written to `folder`. Returns an error if an address can't be bound or a process can't be
 /// started.
 pub async fn run_plan(plan: Plan, slot: u8, folder: &Path) -> io::Result<RunState> {
@@ -417,7 +417,8 @@
         })
     }
 
-    /// Restarts processes that have exited by themselves, and records when the run was stalled.
+    /// Restarts processes that have exited by themselves, and records when this test program was
+    /// not scheduled in time.
     async fn watch(self) {
         loop {
             let sleep_started_at = Instant::now();
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -65,7 +65,7 @@
         self.mode.send_replace(mode);
     }
 
-    /// Resets every open connection.
+    /// Closes every open connection. Connections with unread input are reset.
     pub fn reset_connections(&self) {
         self.reset_count
             .send_modify(|reset_count| *reset_count += 1);
