--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -41,7 +41,7 @@
 ) -> Option<Vec<(String, EndpointState)>> {
     let headers = vec![("x-consul-index".to_owned(), index.to_string())];
     let head = Head {
-        start: "HTTP/1.1 200 OK".to_owned(),
+        start_line: "HTTP/1.1 200 OK".to_owned(),
         headers,
     };
     let entries = consul
@@ -143,7 +143,7 @@
     consul.handle_failure();
     assert_eq!(next_request_target(&consul), "/v1/health/service/s");
     let head = Head {
-        start: "HTTP/1.1 500 Internal Server Error".to_owned(),
+        start_line: "HTTP/1.1 500 Internal Server Error".to_owned(),
         headers: vec![],
     };
     assert!(consul
@@ -152,7 +152,7 @@
         .to_string()
         .contains("500"));
     let head = Head {
-        start: "HTTP/1.1 200 OK".to_owned(),
+        start_line: "HTTP/1.1 200 OK".to_owned(),
         headers: vec![],
     };
     let error_text = |consul: &mut Consul, body: Value| {
