--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -132,8 +132,8 @@
 
     /// Picks the target of a write, which runs at the origin. The write is sent to the origin
     /// directly where that is allowed, otherwise through a cache. If an earlier attempt may have
-    /// run, only servers that would drop the repeat may receive the write. Returns None if no
-    /// server may receive it.
+    /// run, only servers within the dedup scope of that attempt may receive the write. Returns
+    /// None if no server may receive it.
     fn pick_for_write(&self) -> Option<Target> {
         let scope = self.router.class(self.request).dedup_scope;
         let repeat_is_safe_at = |server: &ServerState| {
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,8 +1,8 @@
 //! Checks the record of a run against the rules of the protocol.
 //!
-//! Verdicts that depend on a time of arrival ignore attempts that passed a disturbed link or came
-//! from a proxy whose writes failed. They also ignore times at which this test program was not
-//! scheduled in time.
+//! Verdicts on the arrival of a single attempt, and on the copy that it returned, ignore attempts
+//! that passed a disturbed link or came from a proxy whose writes failed. They also ignore attempts
+//! that arrived around a time at which this test program was not scheduled in time.
 
 use crate::deployment::{
     class, CACHE_CAPACITY_TRANSFERS, DRAIN_GRACE_MS, INITIAL_CAPACITY_SHARE, OBJECT_SIZE_KB,
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -141,8 +141,8 @@
     pub purges: u64,
     /// Purges that proxies accepted through their interconnect.
     pub interconnect_purges: u64,
-    /// How often this test program was not scheduled in time. Rules that are judged by time are not
-    /// checked around these moments.
+    /// How often this test program was not scheduled in time. Attempts and refused requests around
+    /// these moments are not judged by their timing.
     pub harness_stalls: u64,
 }
 
@@ -225,7 +225,7 @@
     }
 
     /// Adds a server at an address and returns its index. `started` becomes [`Server::started`].
-    /// Proxies learn of the server when its entry of the endpoint list is published.
+    /// Running proxies learn of the server when its entry of the endpoint list is published.
     pub fn add_server(&mut self, address_index: usize, started: Option<(u64, usize)>) -> usize {
         let uid = format!("s-{:08x}", self.next_uid_number);
         self.next_uid_number += 1;
@@ -367,7 +367,8 @@
     }
 
     /// Returns whether this test program was not scheduled in time at some moment of an interval or
-    /// within 500 ms of it. Rules that are judged by time are not checked in such an interval.
+    /// within 500 ms of it. Attempts and refused requests in such an interval are not judged by
+    /// their timing.
     pub fn was_harness_stalled(&self, from_ms: u64, until_ms: u64) -> bool {
         let widened_interval = from_ms.saturating_sub(500)..=until_ms + 500;
         self.harness_stalls_ms
