--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -13,7 +13,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("failed to start the adapter");
-    // A write error is ignored because the adapter exits at an invalid line without reading the rest.
+    // A write error is ignored because the adapter exits at an invalid line without reading the
+    // rest.
     child
         .stdin
         .take()
@@ -93,7 +94,7 @@
         .any(|line| parts.iter().all(|part| line.contains(part)))
 }
 
-/// Returns batches that contain every event, one of an unknown type included.
+/// Returns 7 batches that together contain every event and one event of an unknown type.
 fn batches_with_every_event() -> String {
     let requests = [
         order(7, "film", 4_000_000),
@@ -135,7 +136,8 @@
     let lines = reply_lines(&out);
     assert_eq!(
         lines.iter().filter(|line| line.contains("\"Ack\"")).count(),
-        7
+        7,
+        "each batch is acknowledged once"
     );
     assert!(any_line_contains(
         &lines,
