--- a/crates/proxy/src/discovery/event_bus.rs
+++ b/crates/proxy/src/discovery/event_bus.rs
@@ -16,12 +16,12 @@
 pub enum DiscoveryEvent {
     /// The whole endpoint list, or changes to it, as the mode says.
     EndpointList(EndpointListMode, Vec<ListedServer>),
-    /// An object or a whole group was purged.
+    /// An object or a whole purge group was purged.
     Purge {
-        /// The purged object. None if a group is purged.
+        /// The purged object. None if a whole purge group is purged.
         object: Option<String>,
-        /// The purged group. 0 if an object is purged.
-        group: u64,
+        /// The purge group. 0 if an object is purged.
+        purge_group: u64,
         /// Unix time of the purge, in microseconds.
         at: Micros,
     },
@@ -45,7 +45,7 @@
     /// A key of the event's purge is missing or holds a value of the wrong type.
     #[error("ban: {0}")]
     Purge(ReadError),
-    /// The event's purge names neither an object nor a group.
+    /// The event's purge names neither an object nor a purge group.
     #[error("ban: field 'tag' is missing or not a whole number")]
     PurgeWithoutTarget,
 }
@@ -78,7 +78,7 @@
     object: Option<String>,
     /// Ignored if an object is named.
     #[serde(rename = "tag")]
-    group: Option<Tolerant<WholeNumber>>,
+    purge_group: Option<Tolerant<WholeNumber>>,
     /// Unix time of the purge, in milliseconds.
     #[serde(rename = "ts")]
     purged_at_ms: WholeNumber,
@@ -121,14 +121,14 @@
 
 fn read_purge(value: &Value) -> Result<DiscoveryEvent, EventReadError> {
     let Object(purge): Object<RawPurge> = read(value).map_err(EventReadError::Purge)?;
-    let group = match (&purge.object, purge.group) {
+    let purge_group = match (&purge.object, purge.purge_group) {
         (Some(_), _) => 0,
-        (None, Some(Tolerant::Valid(group))) => group.0,
+        (None, Some(Tolerant::Valid(purge_group))) => purge_group.0,
         (None, _) => return Err(EventReadError::PurgeWithoutTarget),
     };
     Ok(DiscoveryEvent::Purge {
         object: purge.object,
-        group,
+        purge_group,
         at: purge.purged_at_ms.0.saturating_mul(1000),
     })
 }
--- a/crates/proxy/src/discovery/purge_gossip.rs
+++ b/crates/proxy/src/discovery/purge_gossip.rs
@@ -10,13 +10,13 @@
 /// The maximum size of a datagram that the platform delivers, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// A purge of an object, or of a whole group.
+/// A purge of an object, or of a whole purge group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// The purged object. None if the whole group is purged.
+    /// The purged object. None if a whole purge group is purged.
     pub object: Option<String>,
-    /// The purged group. 0 if an object is purged.
-    pub group: u64,
+    /// The purge group. 0 if an object is purged.
+    pub purge_group: u64,
     /// Unix time of the purge, in microseconds.
     pub purged_at: Micros,
 }
@@ -25,12 +25,12 @@
 pub fn encode(purge: &Purge) -> Option<String> {
     let Purge {
         object,
-        group,
+        purge_group,
         purged_at,
     } = purge;
     let text = match object {
         Some(object) => format!("purge object {object} {purged_at}"),
-        None => format!("purge group {group} {purged_at}"),
+        None => format!("purge group {purge_group} {purged_at}"),
     };
     (text.len() <= MAX_DATAGRAM_BYTES).then_some(text)
 }
@@ -42,14 +42,14 @@
     }
     let text = std::str::from_utf8(datagram).ok()?;
     let words: Vec<&str> = text.splitn(5, ' ').collect();
-    let (object, group, purged_at) = match words[..] {
+    let (object, purge_group, purged_at) = match words[..] {
         ["purge", "object", object, purged_at] => (Some(object.to_owned()), 0, purged_at),
-        ["purge", "group", group, purged_at] => (None, group.parse().ok()?, purged_at),
+        ["purge", "group", purge_group, purged_at] => (None, purge_group.parse().ok()?, purged_at),
         _ => return None,
     };
     Some(Purge {
         object,
-        group,
+        purge_group,
         purged_at: purged_at.parse().ok()?,
     })
 }
--- a/crates/proxy/src/discovery/purge_log.rs
+++ b/crates/proxy/src/discovery/purge_log.rs
@@ -17,7 +17,7 @@
 /// The file is rewritten once it has at least two lines for each purge plus this many.
 pub const REWRITE_SLACK_LINES: usize = 1024;
 
-/// The target of a purge: an object, or a group if the object is None.
+/// The target of a purge: an object, or a whole purge group if the object is None.
 type PurgeTarget = (Option<String>, u64);
 
 /// An open purge log and the purges in it.
@@ -78,7 +78,7 @@
         let Some(line) = encode(purge) else {
             return Ok(());
         };
-        let target = (purge.object.clone(), purge.group);
+        let target = (purge.object.clone(), purge.purge_group);
         let last_purged_at = self.last_purges.entry(target).or_insert(0);
         if purge.purged_at <= *last_purged_at {
             return self.flush();
@@ -132,7 +132,7 @@
             continue;
         };
         let last_purged_at = last_purges
-            .entry((purge.object, purge.group))
+            .entry((purge.object, purge.purge_group))
             .or_insert(purge.purged_at);
         *last_purged_at = purge.purged_at.max(*last_purged_at);
     }
@@ -144,10 +144,10 @@
     decode(line.strip_suffix('\n')?.as_bytes())
 }
 
-fn to_purge(((object, group), purged_at): (&PurgeTarget, &Micros)) -> Purge {
+fn to_purge(((object, purge_group), purged_at): (&PurgeTarget, &Micros)) -> Purge {
     Purge {
         object: object.clone(),
-        group: *group,
+        purge_group: *purge_group,
         purged_at: *purged_at,
     }
 }
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -222,8 +222,13 @@
 
     /// Handles a live event. Peer CDNs are notified of purges as well.
     fn handle_event_bus_message(&mut self, now: Micros, message: EventBusMessage) {
-        if let Some(DiscoveryEvent::Purge { object, group, .. }) = &message.event {
-            self.forward_purge(now, object.as_deref(), *group);
+        if let Some(DiscoveryEvent::Purge {
+            object,
+            purge_group,
+            ..
+        }) = &message.event
+        {
+            self.forward_purge(now, object.as_deref(), *purge_group);
         }
         self.apply_event_bus_message(now, message);
     }
@@ -237,9 +242,13 @@
             Some(DiscoveryEvent::EndpointList(mode, servers)) => {
                 self.request_table.update_endpoints(now, mode, servers);
             }
-            Some(DiscoveryEvent::Purge { object, group, at }) => {
+            Some(DiscoveryEvent::Purge {
+                object,
+                purge_group,
+                at,
+            }) => {
                 self.request_table
-                    .handle_purge_event(now, object, group, at);
+                    .handle_purge_event(now, object, purge_group, at);
             }
             None => log::debug!(
                 "ignoring event {} of the event bus, which has an unknown type",
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -144,10 +144,10 @@
     /// purge that is in force but could not be written to the purge log.
     fn apply_effect(&mut self, now: Micros, effect: Effect) -> bool {
         match effect {
-            Effect::Purge(object, group) => {
+            Effect::Purge(object, purge_group) => {
                 let purge = Purge {
                     object,
-                    group,
+                    purge_group,
                     purged_at: now,
                 };
                 if let Some(datagram) = gossip::encode(&purge) {
--- a/crates/proxy/src/event_loop/notifications.rs
+++ b/crates/proxy/src/event_loop/notifications.rs
@@ -101,11 +101,11 @@
     }
 
     /// Forwards a purge from the event bus to peer CDNs.
-    pub(super) fn forward_purge(&mut self, now: Micros, object: Option<&str>, group: u64) {
+    pub(super) fn forward_purge(&mut self, now: Micros, object: Option<&str>, purge_group: u64) {
         let Some(interconnect) = &self.interconnect else {
             return;
         };
-        let notifications = interconnect.frontend.purge_triggers(object, group);
+        let notifications = interconnect.frontend.purge_triggers(object, purge_group);
         for notification in notifications {
             self.queue_notification(now, notification);
         }
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -96,10 +96,10 @@
     /// purge, so that it is not in force.
     pub(super) fn purge_permanently(&mut self, now: Micros, purge: Purge) -> bool {
         // The purge is dated `now`, because its time stamp comes from a clock that may be wrong.
-        let (object, group) = (purge.object.clone(), purge.group);
+        let (object, purge_group) = (purge.object.clone(), purge.purge_group);
         let is_in_force = self
             .request_table
-            .purge_permanently(now, object, group, now);
+            .purge_permanently(now, object, purge_group, now);
         if !is_in_force {
             return true;
         }
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -187,7 +187,7 @@
             // The purge is dated `now`, so that it covers every copy made before this start. The
             // stored time comes from a clock that may have been wrong.
             self.request_table
-                .purge_permanently(now, purge.object, purge.group, now);
+                .purge_permanently(now, purge.object, purge.purge_group, now);
         }
         for event in known_events {
             self.apply_event_bus_message(now, event);
--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -168,7 +168,7 @@
             part: self
                 .number(Parameter::Piece, 0, limits.max_part_number)?
                 .unwrap_or(0),
-            group: self.number(Parameter::Lot, 0, MAXIMUM_GROUP)?.unwrap_or(0),
+            purge_group: self.number(Parameter::Lot, 0, MAXIMUM_GROUP)?.unwrap_or(0),
             size_kb: self.size_kb(limits.max_part_size_kb)?,
             remaining_us: self.remaining_us(limits)?,
             idempotency_key: self.hexadecimal(Parameter::OnceKey, IDEMPOTENCY_KEY_DIGITS)?,
--- a/crates/proxy/src/frontend/interconnect/content.rs
+++ b/crates/proxy/src/frontend/interconnect/content.rs
@@ -100,7 +100,7 @@
         class: content.class.to_owned(),
         object: content.object.to_owned(),
         part: content.part,
-        group: group(target),
+        purge_group: group(target),
         size_kb: size_kb(target),
         remaining_us,
         client_copy_tag: held_tag(head),
--- a/crates/proxy/src/request_table/guard.rs
+++ b/crates/proxy/src/request_table/guard.rs
@@ -42,7 +42,7 @@
 
     /// Returns whether a request may be sent again, considering its class and earlier attempts.
     fn allows_retry(&self, pending: &PendingRequest) -> bool {
-        !pending.may_have_run()
+        !pending.may_have_executed()
             || self.idempotency_of(&pending.request) != Idempotency::NonIdempotent
     }
 }
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -177,17 +177,20 @@
         &mut self,
         now: Micros,
         object: Option<String>,
-        group: u64,
+        purge_group: u64,
         event_time_us: Micros,
     ) {
         match &object {
             Some(object) => log::debug!("purge of object {object} received from the event bus"),
-            None => log::info!("purge of group {group} received from the event bus"),
+            None => log::info!("purge of group {purge_group} received from the event bus"),
         }
         let shift_us = self.reference_time.observe_event(now, event_time_us);
         self.report_time_shift(now, shift_us);
         let purge = Purge {
-            target: PurgeTarget { object, group },
+            target: PurgeTarget {
+                object,
+                purge_group,
+            },
             purged_at: self.reference_time.to_local(event_time_us),
             permanent: false,
         };
@@ -202,10 +205,13 @@
         &mut self,
         now: Micros,
         object: Option<String>,
-        group: u64,
+        purge_group: u64,
         purged_at: Micros,
     ) -> bool {
-        let target = PurgeTarget { object, group };
+        let target = PurgeTarget {
+            object,
+            purge_group,
+        };
         if !self.permanent_purges.insert(target.clone()) {
             return false;
         }
--- a/crates/proxy/src/request_table/purges.rs
+++ b/crates/proxy/src/request_table/purges.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PurgeTarget {
     pub(super) object: Option<String>,
-    pub(super) group: u64,
+    pub(super) purge_group: u64,
 }
 
 impl PurgeTarget {
@@ -16,7 +16,7 @@
     pub(super) fn applies_to(&self, request: &ClientRequest) -> bool {
         match &self.object {
             Some(object) => request.object == *object,
-            None => request.group == self.group,
+            None => request.purge_group == self.purge_group,
         }
     }
 }
@@ -40,7 +40,7 @@
     pub(super) fn into_event(self, now: Micros) -> Event {
         Event::Purged {
             object: self.target.object,
-            group: self.target.group,
+            purge_group: self.target.purge_group,
             age_us: now.saturating_sub(self.purged_at),
             permanent: self.permanent,
         }
--- a/crates/proxy/src/request_table/request.rs
+++ b/crates/proxy/src/request_table/request.rs
@@ -31,7 +31,7 @@
     /// Number of the part within the object.
     pub part: u64,
     /// The object's purge group, which can be purged as a whole.
-    pub group: u64,
+    pub purge_group: u64,
     /// Size of the part in KB. 0 means that the size is unknown.
     pub size_kb: f64,
     /// How much longer the client waits, in microseconds. On admission, the table subtracts the
@@ -55,7 +55,7 @@
             tenant: None,
             object: self.object.clone(),
             part: self.part,
-            group: self.group,
+            purge_group: self.purge_group,
             size_kb: self.size_kb,
             remaining_us: self.remaining_us,
             is_retry: false,
@@ -108,8 +108,8 @@
     pub(super) deadline: Micros,
     /// Number of attempts started so far, which is the number of the next attempt.
     attempts_started: u32,
-    /// Whether any attempt ended in a way that does not prove that the request never ran.
-    may_have_run: bool,
+    /// Whether any attempt ended in a way that does not rule out that the request was executed.
+    may_have_executed: bool,
     pub(super) in_flight: Option<InFlightAttempt>,
     pub(super) trace: RequestTrace,
 }
@@ -125,7 +125,7 @@
             deadline: now + request.remaining_us,
             request,
             attempts_started: 0,
-            may_have_run: false,
+            may_have_executed: false,
             in_flight: None,
             trace: RequestTrace::new(now),
         }
@@ -153,12 +153,12 @@
 
     /// Records how an attempt ended, which decides whether the request may be retried.
     pub(super) fn record_outcome(&mut self, outcome: Outcome) {
-        self.may_have_run |= !outcome.never_ran();
+        self.may_have_executed |= !outcome.rules_out_execution();
     }
 
     /// Returns whether the request may have taken effect, or may still do so.
-    pub(super) fn may_have_run(&self) -> bool {
-        self.may_have_run || self.in_flight.is_some()
+    pub(super) fn may_have_executed(&self) -> bool {
+        self.may_have_executed || self.in_flight.is_some()
     }
 
     /// Starts the next attempt and records it as in flight. The deadline of the attempt is never
--- a/crates/proxy/src/request_table/tests.rs
+++ b/crates/proxy/src/request_table/tests.rs
@@ -91,9 +91,9 @@
 
 #[test]
 fn permanent_purges_are_bounded_and_a_repeated_purge_uses_no_capacity() {
-    let group = |group| PurgeTarget {
+    let group = |purge_group| PurgeTarget {
         object: None,
-        group,
+        purge_group,
     };
     let mut purges = PermanentPurges::new(1);
     assert!(purges.insert(group(1)));
--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -105,7 +105,7 @@
         object.event,
         Some(DiscoveryEvent::Purge {
             object: Some("7f3a".into()),
-            group: 0,
+            purge_group: 0,
             at: 5_000
         })
     );
@@ -114,7 +114,7 @@
         group.event,
         Some(DiscoveryEvent::Purge {
             object: None,
-            group: 17,
+            purge_group: 17,
             at: 5_000
         })
     );
--- a/crates/proxy/tests/purge_gossip.rs
+++ b/crates/proxy/tests/purge_gossip.rs
@@ -8,7 +8,7 @@
 fn datagrams_decode_to_what_was_encoded_and_are_bounded_in_length() {
     let object = Purge {
         object: Some("0a".into()),
-        group: 0,
+        purge_group: 0,
         purged_at: 7,
     };
     assert_eq!(
@@ -17,7 +17,7 @@
     );
     let group = Purge {
         object: None,
-        group: 9,
+        purge_group: 9,
         purged_at: 8,
     };
     assert_eq!(
@@ -26,7 +26,7 @@
     );
     let too_long = Purge {
         object: Some("a".repeat(250)),
-        group: 0,
+        purge_group: 0,
         purged_at: 1,
     };
     assert_eq!(encode(&too_long), None);
--- a/crates/proxy/tests/purge_log.rs
+++ b/crates/proxy/tests/purge_log.rs
@@ -18,16 +18,16 @@
 fn object(object: &str, purged_at: u64) -> Purge {
     Purge {
         object: Some(object.into()),
-        group: 0,
+        purge_group: 0,
         purged_at,
     }
 }
 
 /// Returns a purge of a purge group at a Unix time in microseconds.
-fn group(group: u64, purged_at: u64) -> Purge {
+fn group(purge_group: u64, purged_at: u64) -> Purge {
     Purge {
         object: None,
-        group,
+        purge_group,
         purged_at,
     }
 }
--- a/crates/proxy/tests/purge_log_faults.rs
+++ b/crates/proxy/tests/purge_log_faults.rs
@@ -21,7 +21,7 @@
 fn purge(number: u64) -> Purge {
     Purge {
         object: Some(format!("{number:016x}")),
-        group: 0,
+        purge_group: 0,
         purged_at: 1_000_000 + number,
     }
 }
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -399,7 +399,7 @@
     ] {
         let mut fixture = Fixture::connecting();
         fixture.send_request(ClientRequest {
-            group: 7,
+            purge_group: 7,
             ..photo_request("01")
         });
         fixture.now += 400_000;
--- a/crates/routing/src/estimate/load.rs
+++ b/crates/routing/src/estimate/load.rs
@@ -7,18 +7,18 @@
 pub(crate) struct SharedLoadEstimate {
     own: f64,
     own_average: MovingAverage,
-    other_senders: f64,
+    other_sender_count: f64,
 }
 
 impl SharedLoadEstimate {
     /// Creates an estimate for a sender that has nothing in flight and shares the resource with
-    /// `other_senders` similar senders. Each sample has the weight `sample_weight`, from 0 to 1, in
+    /// `other_sender_count` similar senders. Each sample has the weight `sample_weight`, from 0 to 1, in
     /// the average over time.
-    pub(crate) fn new(other_senders: f64, sample_weight: f64) -> Self {
+    pub(crate) fn new(other_sender_count: f64, sample_weight: f64) -> Self {
         SharedLoadEstimate {
             own: 0.0,
             own_average: MovingAverage::new(0.0, sample_weight),
-            other_senders,
+            other_sender_count,
         }
     }
 
@@ -46,6 +46,6 @@
     /// Returns the load that all senders have in flight. Assumes that each other sender has the
     /// average load of this sender.
     pub(crate) fn total(&self) -> f64 {
-        self.own + self.own_average.value() * self.other_senders
+        self.own + self.own_average.value() * self.other_sender_count
     }
 }
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -26,11 +26,15 @@
     pub id: ServerId,
     /// Name of the server's zone.
     pub zone: String,
-    /// The server's cell. Servers of a cell share the idempotency keys that they have received.
+    /// Number of the server's cell. Servers of a cell share the idempotency keys that they have
+    /// received, so a repeat is dropped by whichever server of the cell it reaches.
     pub cell: u64,
-    /// Name of the server's kind.
+    /// Name of the server's kind, which determines its role: a parent if it is
+    /// [`Settings::parent_kind`](crate::Settings::parent_kind), the origin if it is
+    /// [`Settings::origin_kind`](crate::Settings::origin_kind), otherwise a cache server.
     pub kind: String,
-    /// The server's capacity; see [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities).
+    /// The server's capacity; see
+    /// [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities).
     pub weight: f64,
     /// The server's lifecycle state.
     pub state: EndpointState,
@@ -63,7 +67,7 @@
     /// Number of the requested part of the object.
     pub part: u64,
     /// The purge group of the object.
-    pub group: u64,
+    pub purge_group: u64,
     /// Size of this part in KB; 0 if unknown.
     pub size_kb: f64,
     /// Time until the client gives up.
@@ -96,8 +100,8 @@
 }
 
 impl Outcome {
-    /// Returns whether it is certain that the request had no effect.
-    pub fn never_ran(self) -> bool {
+    /// Returns whether it is certain that the request was not executed and so had no effect.
+    pub fn rules_out_execution(self) -> bool {
         matches!(
             self,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss
@@ -204,12 +208,12 @@
         /// How far the timestamps move, in microseconds.
         by_us: Micros,
     },
-    /// An object or a whole group was purged.
+    /// An object or a whole purge group was purged.
     Purged {
-        /// Name of the object, or None for the whole group.
+        /// Name of the object, or None for the whole purge group.
         object: Option<String>,
-        /// The purge group.
-        group: u64,
+        /// The purge group. It is ignored if an object is named.
+        purge_group: u64,
         /// Time since the purge.
         age_us: Micros,
         /// Whether the purge never expires. Servers are not notified of such a purge and do not
@@ -231,7 +235,8 @@
     pub outcome: Outcome,
     /// Time since the attempt was sent.
     pub took_us: Micros,
-    /// Whether the request needs no further answer.
+    /// Whether the request is settled: it has its final answer, or its client disconnected. The
+    /// router then neither starts a further attempt nor gives an answer.
     pub settled: bool,
     /// Where the answer came from, or why the fill failed.
     pub fill_result: FillResult,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -101,7 +101,7 @@
 //!     tenant: None,
 //!     object: "/o/film".into(),
 //!     part: 0,
-//!     group: 0,
+//!     purge_group: 0,
 //!     size_kb: 900.0,
 //!     remaining_us: 5_000_000,
 //!     is_retry: false,
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -17,9 +17,9 @@
 /// Replaces [`MAX_LINK_TIME_SHARE`] for requests of unknown size. It is higher, because all these
 /// requests of a class are refused together.
 const MAX_LINK_TIME_SHARE_UNKNOWN_SIZE: f64 = 0.5;
-/// Stretch at which transfers overload the link that they share. The stretch is the time that
+/// Slowdown at which transfers overload the link that they share. The slowdown is the time that
 /// transfers took, divided by the time that they would have taken without sharing.
-const OVERLOAD_STRETCH_FACTOR: f64 = 1.3;
+const OVERLOAD_SLOWDOWN: f64 = 1.3;
 /// Time after the last fill during which the pace of fills shows the link's capacity.
 const LINK_PACE_MAX_AGE_US: Micros = 1_500_000;
 /// Lower bound of the server capacity that is derived from hits, in transfers at full rate.
@@ -60,10 +60,10 @@
     /// once that has passed, before its deadline. Otherwise the cache is full in the sense of the
     /// design. The estimate uses the transfers in flight and the capacity that hits showed.
     pub(super) fn serves_in_time(&self, server: &ServerState) -> bool {
-        let warm_share = server.warm_up_capacity_share(self.now);
-        let capacity = self.observed_capacity(server) * warm_share;
+        let capacity_share = server.warm_up_capacity_share(self.now);
+        let capacity = self.observed_capacity(server) * capacity_share;
         let sharing = (server.transfers_in_flight.total() + 1.0) / capacity;
-        let expected_us = (self.request.transfer_s * sharing.max(1.0) * 1e6) as Micros;
+        let expected_us = (self.request.unshared_transfer_s * sharing.max(1.0) * 1e6) as Micros;
         expected_us as f64 <= MAX_CACHE_TIME_SHARE * self.request.time_left_us(self.now) as f64
     }
 
@@ -75,7 +75,7 @@
         let Some(hits) = server.hit_pace.summary(self.now) else {
             return nominal;
         };
-        if hits.slowdown >= OVERLOAD_STRETCH_FACTOR {
+        if hits.slowdown >= OVERLOAD_SLOWDOWN {
             return (hits.in_flight / hits.slowdown).max(MIN_OBSERVED_CAPACITY_TRANSFERS);
         }
         nominal.max(hits.in_flight)
@@ -94,7 +94,7 @@
         let allowed_us = time_share * self.request.time_left_us(self.now) as f64;
         self.link_capacity().is_some_and(|capacity| {
             let capacity = capacity.max(MIN_LINK_CAPACITY_TRANSFERS);
-            let expected_s = self.request.transfer_s * in_flight / capacity;
+            let expected_s = self.request.unshared_transfer_s * in_flight / capacity;
             expected_s * 1e6 > allowed_us
         })
     }
@@ -111,18 +111,18 @@
         }
         let fills = pace.summary(self.now)?;
         let recent = self.now <= pace.last_sample_at() + LINK_PACE_MAX_AGE_US;
-        let congested = recent && fills.slowdown >= OVERLOAD_STRETCH_FACTOR;
+        let congested = recent && fills.slowdown >= OVERLOAD_SLOWDOWN;
         congested.then(|| fills.in_flight / fills.slowdown)
     }
 }
 
 impl Router {
     /// Returns the transfer time in seconds that a request takes from a server's slow-start budget.
-    /// It is at least the usual transfer time of the class, because clients may claim too small a
+    /// It is at least the typical transfer time of the class, because clients may claim too small a
     /// size.
     pub(super) fn slow_start_charge_s(&self, request: &RequestState) -> f64 {
-        let usual_s = self.latency[request.class_index].typical_transfer_s();
-        request.transfer_s.max(usual_s)
+        let typical_s = self.latency[request.class_index].typical_transfer_s();
+        request.unshared_transfer_s.max(typical_s)
     }
 
     /// Returns how many transfers a server's link carries at full rate. If the weights do not state
@@ -151,7 +151,8 @@
             .attempts_in_flight()
             .filter(|(request, attempt)| {
                 let waited_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
-                waited_s > FILL_WAIT_TRANSFER_TIMES * request.transfer_s + ANSWER_OVERHEAD_S
+                waited_s
+                    > FILL_WAIT_TRANSFER_TIMES * request.unshared_transfer_s + ANSWER_OVERHEAD_S
                     && now <= attempt.stalls_at
                     && self.servers.is_available(attempt.server, now)
             });
@@ -164,11 +165,11 @@
     pub(super) fn reject_or_fail(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.remove(id)?;
         let class = self.class(&request);
-        let never_ran = request.first_possible_execution.is_none();
+        let never_executed = request.first_possible_execution.is_none();
         let retry_is_safe = match class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::IdempotencyKey => never_ran || class.dedup_scope == DedupScope::All,
-            Idempotency::NonIdempotent => never_ran,
+            Idempotency::IdempotencyKey => never_executed || class.dedup_scope == DedupScope::All,
+            Idempotency::NonIdempotent => never_executed,
         };
         // Retry-After is also sent to clients that are not known to follow it: it does no harm.
         let max_retry_after_us = self.settings.max_retry_after_us;
--- a/crates/routing/src/policy/attempt_end.rs
+++ b/crates/routing/src/policy/attempt_end.rs
@@ -53,7 +53,7 @@
 
     /// Returns how long the answer takes if its transfer shares no link, in seconds.
     fn unshared_s(&self) -> f64 {
-        self.request.transfer_s + ANSWER_OVERHEAD_S
+        self.request.unshared_transfer_s + ANSWER_OVERHEAD_S
     }
 }
 
@@ -89,7 +89,8 @@
     /// Interprets an ended attempt by the statistics as they are before its report changes them.
     fn interpret(&self, ended: EndedAttempt, report: AttemptReport) -> AttemptEnd {
         let EndedAttempt { request, attempt } = ended;
-        let slow_s = self.latency[request.class_index].slow_threshold_s(request.transfer_s);
+        let slow_s =
+            self.latency[request.class_index].slow_threshold_s(request.unshared_transfer_s);
         let served = |id: ServerId| self.servers.succeeded_since(id, attempt.sent_at);
         let cause_unknown = self.settings.provenance != Provenance::Full
             && matches!(report.outcome, Outcome::Rejected | Outcome::Error);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Updates the server's pace and the usual transfer time of the class with a hit.
+    /// Updates the server's pace and the typical transfer time of the class with a hit.
     fn learn_from_hit(&mut self, now: Micros, end: &AttemptEnd) {
         let (attempt, took_s) = (&end.attempt, end.report.took_s());
         if !end.request.size_known {
@@ -160,7 +161,7 @@
             let sharing = attempt.transfers_at_server / capacity.max(MIN_HIT_CAPACITY_TRANSFERS);
             self.latency[end.request.class_index].record_shared_transfer(took_s, sharing.max(1.0));
         }
-        self.servers.change(attempt.server, |server| {
+        self.servers.modify(attempt.server, |server| {
             let in_flight =
                 (attempt.transfers_at_server + server.transfers_in_flight.total()) / 2.0;
             server
@@ -192,7 +193,7 @@
             self.record_server_success(now, source);
             if end.request.size_known {
                 let (took_s, unshared_s) = (end.report.took_s(), end.unshared_s());
-                self.servers.change(source, |server| {
+                self.servers.modify(source, |server| {
                     server.fill_pace.add(now, took_s, unshared_s, 0.0);
                 });
             }
@@ -262,9 +263,11 @@
             && self.servers.is_available(server, now);
         let source_at_fault = end.source_fault_share >= MIN_SOURCE_FAULT_SHARE || source_ejected;
         let unresponsive = end.unresponsive_source;
-        if !report.outcome.never_ran() {
-            let this_run = self.servers.first_possible_execution(&attempt);
-            request.first_possible_execution.get_or_insert(this_run);
+        if !report.outcome.rules_out_execution() {
+            let possible_execution = self.servers.first_possible_execution(&attempt);
+            request
+                .first_possible_execution
+                .get_or_insert(possible_execution);
         }
         request.failed_fill_sources.extend(unresponsive);
         let source_reported = report.fill_result.source_failed();
@@ -278,7 +281,7 @@
         };
         let missed = report.outcome == Outcome::Miss;
         if missed && source.is_none() {
-            request.needs_fill = true;
+            request.missed_without_source = true;
         } else if source_at_fault || missed || report.fill_result == FillResult::SourceMiss {
             request.failed_fill_sources.extend(source);
         } else if !self.class(&request).is_write && !may_retry_same_server {
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -126,18 +126,18 @@
             } => actions.push(Action::WatchEndpoints),
             Event::Timer { .. } | Event::ProbeEnded { .. } => {}
             Event::TimestampsMovedEarlier { by_us } => {
-                self.servers.move_start_times_back(by_us);
-                self.purges.move_purge_times_back(by_us);
+                self.servers.move_start_times_earlier(by_us);
+                self.purges.move_purge_times_earlier(by_us);
             }
             Event::Purged {
                 object,
-                group,
+                purge_group,
                 age_us,
                 permanent,
             } => {
                 let purged_at = now.saturating_sub(age_us);
                 self.purges
-                    .record(now, object.as_deref(), group, purged_at, permanent);
+                    .record(now, object.as_deref(), purge_group, purged_at, permanent);
             }
         }
     }
@@ -151,14 +151,14 @@
             return Some(Action::reject(request.id, None));
         };
         let (class, latency) = (&self.settings.classes[index], &mut self.latency[index]);
-        let size_based_s = self.settings.transfer_s(request.size_kb);
-        let transfer_s = size_based_s.unwrap_or(latency.typical_transfer_s());
+        let size_based_s = self.settings.unshared_transfer_s(request.size_kb);
+        let unshared_transfer_s = size_based_s.unwrap_or(latency.typical_transfer_s());
         // Clients may claim any size. The estimate ignores sizes that cannot be transferred within
         // the deadline of the class.
         if size_based_s.is_some_and(|size_based_s| size_based_s * 1e6 <= class.deadline_us as f64) {
-            latency.record_transfer(transfer_s);
+            latency.record_transfer(unshared_transfer_s);
         }
-        let mut state = RequestState::new(now, &request, index, class, transfer_s);
+        let mut state = RequestState::new(now, &request, index, class, unshared_transfer_s);
         state.size_known = size_based_s.is_some();
         if !class.is_write {
             self.popularity.count_request(now, &mut state);
--- a/crates/routing/src/policy/outlier.rs
+++ b/crates/routing/src/policy/outlier.rs
@@ -19,10 +19,10 @@
 const EJECTION_FAILURE_RATE: f64 = 0.45;
 /// A server is unresponsive if the chance that all its late attempts wait for fills is at most
 /// this. The second term allows for rounding.
-const UNRESPONSIVE_FILL_CHANCE: f64 = 0.16 + 1e-9;
+const UNRESPONSIVE_FILL_WAIT_CHANCE: f64 = 0.16 + 1e-9;
 /// Lower bound of the chance that a late attempt waits for a fill. It is above
-/// [`UNRESPONSIVE_FILL_CHANCE`], so that a single late attempt does not eject a server.
-const MIN_FILL_CHANCE: f64 = 0.4;
+/// [`UNRESPONSIVE_FILL_WAIT_CHANCE`], so that a single late attempt does not eject a server.
+const MIN_FILL_WAIT_CHANCE: f64 = 0.4;
 
 impl ServerState {
     /// Returns whether the server may receive requests. A server that is not ejected is available;
@@ -46,7 +46,7 @@
 impl Router {
     /// Records that a server served a request or filled a copy.
     pub(super) fn record_server_success(&mut self, now: Micros, id: ServerId) {
-        self.servers.change(id, |server| {
+        self.servers.modify(id, |server| {
             server.half_open_probe_in_flight = false;
             server.last_success_at = now;
             // The process of a server that was unreachable counts as just started, whatever start
@@ -64,7 +64,7 @@
     /// Records that a server failed a request or a fill. A `weight` below 1 means that something
     /// else may have caused the failure.
     pub(super) fn record_server_failure(&mut self, now: Micros, id: ServerId, weight: f64) {
-        self.servers.change(id, |server| {
+        self.servers.modify(id, |server| {
             server.half_open_probe_in_flight = false;
             let increase = FAILURE_RATE_SAMPLE_WEIGHT * weight * (1.0 - server.failure_rate);
             server.failure_rate += increase.min(1.0);
@@ -78,10 +78,10 @@
     /// the first of its late attempts was sent, and waiting for fills is an unlikely explanation
     /// for all of them.
     pub(super) fn eject_unresponsive(&mut self, now: Micros) {
-        let fill_chance = |attempt: &InFlightAttempt| self.fill_chance(now, attempt);
-        for (id, late) in self.requests.late_attempts_by_server(now, fill_chance) {
-            self.servers.change(id, |server| {
-                let explained_by_fills = late.benign_cause_chance > UNRESPONSIVE_FILL_CHANCE;
+        let fill_wait_chance = |attempt: &InFlightAttempt| self.fill_wait_chance(now, attempt);
+        for (id, late) in self.requests.late_attempts_by_server(now, fill_wait_chance) {
+            self.servers.modify(id, |server| {
+                let explained_by_fills = late.fill_wait_chance > UNRESPONSIVE_FILL_WAIT_CHANCE;
                 let failed = !explained_by_fills || server.half_open_probe_in_flight;
                 if failed && server.last_success_at < late.first_sent_at {
                     eject(now, server);
@@ -93,11 +93,11 @@
     /// Returns the chance that a late attempt waits for a fill. It is 1 if the object's group was
     /// purged or the cache is warming up after it started empty: a slow fill is then due to the
     /// origin or the link, and a retry would only add another fill.
-    fn fill_chance(&self, now: Micros, attempt: &InFlightAttempt) -> f64 {
+    fn fill_wait_chance(&self, now: Micros, attempt: &InFlightAttempt) -> f64 {
         let server = self.servers.get(attempt.server);
         if attempt.group_recently_purged || server.is_some_and(|server| server.is_warming_up(now)) {
             return 1.0;
         }
-        self.link.miss_share.value().max(MIN_FILL_CHANCE)
+        self.link.miss_share.value().max(MIN_FILL_WAIT_CHANCE)
     }
 }
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -56,8 +56,9 @@
     /// there is none, picks the next cache in the rendezvous order that is not full. Returns None
     /// if no cache can be used.
     fn pick_cache(&self) -> Option<Target> {
-        let tried = &self.request.failed_servers;
-        let usable = |cache: &&ServerState| !tried.contains(&cache.id) && self.can_serve(cache);
+        let failed_servers = &self.request.failed_servers;
+        let usable =
+            |cache: &&ServerState| !failed_servers.contains(&cache.id) && self.can_serve(cache);
         let (caches, copy_count) = (self.ranked.caches.iter().copied(), self.copy_count());
         let holders: Vec<_> = caches.clone().take(copy_count).filter(usable).collect();
         let cache = if holders.is_empty() {
@@ -72,7 +73,7 @@
     /// Returns the target for a read, or None if the read has missed before and there is no source
     /// to fill it from.
     fn read_target(&self, cache: &ServerState, source: Option<&ServerState>) -> Option<Target> {
-        let is_useful = source.is_some() || !self.request.needs_fill;
+        let is_useful = source.is_some() || !self.request.missed_without_source;
         is_useful.then(|| Target::new(cache, source))
     }
 
@@ -111,9 +112,9 @@
         let is_available = |source: &&ServerState| source.is_available(self.now);
         let mut available = sources.iter().copied().filter(is_available);
         let (first, second) = (available.next(), available.next());
-        let stretch = |source: &ServerState| Some(source.fill_pace.summary(self.now)?.slowdown);
-        let stretches = first.and_then(stretch).zip(second.and_then(stretch));
-        let slower = stretches.is_some_and(|(first, second)| first > SLOWER_PARENT_FACTOR * second);
+        let slowdown = |source: &ServerState| Some(source.fill_pace.summary(self.now)?.slowdown);
+        let slowdowns = first.and_then(slowdown).zip(second.and_then(slowdown));
+        let slower = slowdowns.is_some_and(|(first, second)| first > SLOWER_PARENT_FACTOR * second);
         let preferred = first.filter(|_| !slower).or(second);
         preferred.or(sources.first().copied())
     }
@@ -126,10 +127,10 @@
         let drops_repeats = |server: &ServerState| {
             self.request
                 .first_possible_execution
-                .is_none_or(|run| match scope {
+                .is_none_or(|execution| match scope {
                     DedupScope::All => true,
-                    DedupScope::Zone => server.zone_index == run.zone_index,
-                    DedupScope::Cell => server.cell == run.cell,
+                    DedupScope::Zone => server.zone_index == execution.zone_index,
+                    DedupScope::Cell => server.cell == execution.cell,
                 })
         };
         // A write can run only at the origin, so it is sent there even while the origin is ejected.
@@ -152,20 +153,21 @@
     /// rather than faults of single servers.
     fn pick_last_resort(&self) -> Option<Target> {
         let (caches, origin) = (&self.ranked.caches, self.ranked.origin);
-        let tried = &self.request.failed_servers;
-        let untried =
-            |server: &&&ServerState| !tried.contains(&server.id) && self.rules_allow(server);
+        let failed_servers = &self.request.failed_servers;
+        let eligible = |server: &&&ServerState| {
+            !failed_servers.contains(&server.id) && self.rules_allow(server)
+        };
         let origin_failed = origin.is_some_and(|origin| self.request.has_failed_source(origin.id));
         let cache_available = caches.iter().any(|cache| cache.is_available(self.now));
         let direct = self.router.settings.direct_requests && !cache_available && !origin_failed;
         if direct && !self.link_is_full() {
-            let mut parents = self.ranked.parents.iter().filter(untried);
+            let mut parents = self.ranked.parents.iter().filter(eligible);
             if let Some(parent) = parents.find(|parent| parent.is_available(self.now)) {
                 return Some(Target::new(parent, origin));
             }
         }
-        let untried = caches.iter().filter(untried);
-        let mut reachable = untried.filter(|cache| !cache.unreachable);
+        let eligible = caches.iter().filter(eligible);
+        let mut reachable = eligible.filter(|cache| !cache.unreachable);
         let cache = reachable.find(|cache| self.serves_in_time(cache))?;
         self.read_target(cache, self.pick_source())
     }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -18,9 +18,9 @@
 const REPEATED_REQUEST_COUNT: f64 = 1.3;
 /// Time that an answer takes besides its transfer.
 pub(super) const ANSWER_OVERHEAD_S: f64 = 0.02;
-/// Initial estimate of the usual transfer time of a class, as a share of its latency objective.
+/// Initial estimate of the typical transfer time of a class, as a share of its latency objective.
 const INITIAL_TRANSFER_TIME_SHARE: f64 = 0.5;
-/// Lower bound of the weight of one request in the usual transfer time of its class.
+/// Lower bound of the weight of one request in the typical transfer time of its class.
 const MIN_TRANSFER_TIME_SAMPLE_WEIGHT: f64 = 0.01;
 /// Lower bound of the measured transfer time of an answer of unknown size.
 const MIN_MEASURED_TRANSFER_S: f64 = 0.001;
@@ -62,8 +62,8 @@
     /// and if an earlier attempt may have taken effect, the request must be safe to repeat.
     pub(super) fn may_attempt(&self, now: Micros, request: &RequestState) -> bool {
         let class = self.class(request);
-        let repeatable = request.first_possible_execution.is_none_or(|run| {
-            let elapsed_at_answer_us = now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US;
+        let repeatable = request.first_possible_execution.is_none_or(|execution| {
+            let elapsed_at_answer_us = now.saturating_sub(execution.sent_at) + MIN_ATTEMPT_US;
             match class.idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::IdempotencyKey => elapsed_at_answer_us < class.dedup_window_us,
@@ -83,13 +83,13 @@
         let (class, charge_s) = (self.class(request), self.slow_start_charge_s(request));
         let attempt = self.new_attempt(now, request, target);
         let keyed = class.idempotency == Idempotency::IdempotencyKey;
-        let first_run = request.first_possible_execution.filter(|_| keyed);
+        let first_execution = request.first_possible_execution.filter(|_| keyed);
         let action = Action::StartAttempt {
             request: id,
             server: target.server,
             timeout_us: None,
             fill: Some(self.new_fill(now, id, request, target)),
-            send_by: first_run.map(|run| run.sent_at + class.dedup_window_us),
+            send_by: first_execution.map(|execution| execution.sent_at + class.dedup_window_us),
         };
         self.servers.record_attempt_sent(id, &attempt, charge_s);
         self.link.record_attempt_sent();
@@ -100,7 +100,8 @@
     fn new_attempt(&self, now: Micros, request: &RequestState, target: Target) -> InFlightAttempt {
         let server = self.servers.get(target.server);
         let in_flight = server.map_or(0.0, |server| server.transfers_in_flight.total());
-        let slow_s = self.latency[request.class_index].slow_threshold_s(request.transfer_s);
+        let slow_s =
+            self.latency[request.class_index].slow_threshold_s(request.unshared_transfer_s);
         let completion_us = self.settings.rules.purge_completion_us;
         InFlightAttempt {
             expected_by: self.expected_by(now, request, slow_s),
@@ -120,7 +121,7 @@
     /// group all attempts may wait for the origin, so only slow attempts exceed it then.
     fn expected_by(&self, now: Micros, request: &RequestState, slow_s: f64) -> Micros {
         let mut expected_s =
-            MAX_EXPECTED_OVERHEAD_S + MAX_EXPECTED_TRANSFER_TIMES * request.transfer_s;
+            MAX_EXPECTED_OVERHEAD_S + MAX_EXPECTED_TRANSFER_TIMES * request.unshared_transfer_s;
         if self.purges.any_group_purged_within(now, GROUP_REFILL_US) {
             expected_s = expected_s.max(slow_s);
         }
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -14,14 +14,14 @@
     pub(super) fn slow_start_allows(&self, server: &ServerState, transfer_s: f64) -> bool {
         let window_us = self.router.settings.rules.overload_window_us;
         let window_start = self.now.saturating_sub(window_us);
-        let warm_share = server.warm_up_capacity_share(window_start);
-        if warm_share >= 1.0 || server.role == Role::Origin {
+        let capacity_share = server.warm_up_capacity_share(window_start);
+        if capacity_share >= 1.0 || server.role == Role::Origin {
             return true;
         }
         let multiple = server.warm_up.overload_multiple;
         let capacity = self.router.nominal_capacity(server);
         let all_routers_s =
-            USED_BUDGET_SHARE * multiple * warm_share * capacity * (window_us as f64 / 1e6);
+            USED_BUDGET_SHARE * multiple * capacity_share * capacity * (window_us as f64 / 1e6);
         let budget_s = all_routers_s / f64::from(server.warm_up.router_count.max(1));
         let spent_s = server.charged_transfer_s(window_start);
         // If this router's part of the budget is smaller than one transfer, the router sends one
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -268,7 +268,7 @@
 
     /// Returns the time in seconds that a transfer of this size takes if it shares no link, or None
     /// if the size or the rate is unknown.
-    pub(crate) fn transfer_s(&self, size_kb: f64) -> Option<f64> {
+    pub(crate) fn unshared_transfer_s(&self, size_kb: f64) -> Option<f64> {
         let known = self.transfer_kb_per_s > 0.0 && size_kb > 0.0;
         known.then(|| size_kb / self.transfer_kb_per_s)
     }
--- a/crates/routing/src/state/purges.rs
+++ b/crates/routing/src/state/purges.rs
@@ -63,9 +63,9 @@
         }
     }
 
-    /// Moves the times of all purges that are not permanent back by `by_us` microseconds. The times
-    /// of permanent purges come from this router's own clock and need no correction.
-    pub(crate) fn move_purge_times_back(&mut self, by_us: Micros) {
+    /// Moves the times of all purges that are not permanent earlier by `by_us` microseconds. The
+    /// times of permanent purges come from this router's own clock and need no correction.
+    pub(crate) fn move_purge_times_earlier(&mut self, by_us: Micros) {
         let temporary = self.purges.values_mut().filter(|purge| !purge.permanent);
         for purge in temporary {
             purge.purged_at = purge.purged_at.saturating_sub(by_us);
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -87,9 +87,9 @@
 /// The late attempts at one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LateAttempts {
-    /// The chance, from 0 to 1, that all of the attempts are late for a reason other than a failure
-    /// of the server.
-    pub(crate) benign_cause_chance: f64,
+    /// The chance, from 0 to 1, that all of the attempts are late because they wait for fills, and
+    /// not because the server failed.
+    pub(crate) fill_wait_chance: f64,
     /// When the first of the attempts was sent.
     pub(crate) first_sent_at: Micros,
 }
@@ -106,8 +106,8 @@
     /// The purge group of the object.
     pub(crate) purge_group: u64,
     /// The time in seconds that the transfer takes if it does not share its link.
-    pub(crate) transfer_s: f64,
-    /// `transfer_s` was computed from the size of the part. Otherwise it is the typical transfer
+    pub(crate) unshared_transfer_s: f64,
+    /// `unshared_transfer_s` was computed from the size of the part. Otherwise it is the typical transfer
     /// time of the class.
     pub(crate) size_known: bool,
     /// The decayed request count of the object.
@@ -135,8 +135,8 @@
     pub(crate) server_errors: u32,
     /// The first server that failed an attempt without a reason.
     pub(crate) first_error_server: Option<ServerId>,
-    /// A cache server that received the request without a fill source has no copy.
-    pub(crate) needs_fill: bool,
+    /// An attempt without a fill source missed, so the request can only be served by a fill.
+    pub(crate) missed_without_source: bool,
     /// The servers that failed the request.
     pub(crate) failed_servers: Vec<ServerId>,
     /// The fill sources that failed a fill for the request.
@@ -147,22 +147,23 @@
 
 impl RequestState {
     /// Creates the state of a request that arrives now. `class_index` is the index of its class.
-    /// The transfer takes `transfer_s` seconds if it does not share its link.
+    /// The transfer takes `unshared_transfer_s` seconds if it does not share its link.
     pub(crate) fn new(
         now: Micros,
         request: &Request,
         class_index: usize,
         class: &Class,
-        transfer_s: f64,
+        unshared_transfer_s: f64,
     ) -> Self {
-        let size_allowance_us = (class.objective_per_transfer_time * transfer_s * 1e6) as Micros;
+        let size_allowance_us =
+            (class.objective_per_transfer_time * unshared_transfer_s * 1e6) as Micros;
         let object_hash = hash::text(&request.object);
         RequestState {
             class_index,
             object_hash,
             part_hash: hash::part(object_hash, request.part),
-            purge_group: request.group,
-            transfer_s,
+            purge_group: request.purge_group,
+            unshared_transfer_s,
             objective_deadline: now + class.latency_objective_us + size_allowance_us,
             client_deadline: now + request.remaining_us,
             ..RequestState::default()
@@ -269,23 +270,23 @@
     }
 
     /// Returns the late attempts by server. An attempt counts for its server and for its fill
-    /// source. `benign_cause_chance` returns the chance, from 0 to 1, that one attempt is late for
-    /// a reason other than a failure of the server.
+    /// source. `fill_wait_chance` returns the chance, from 0 to 1, that one attempt is late because
+    /// it waits for a fill, and not because the server failed.
     pub(crate) fn late_attempts_by_server(
         &self,
         now: Micros,
-        benign_cause_chance: impl Fn(&InFlightAttempt) -> f64,
+        fill_wait_chance: impl Fn(&InFlightAttempt) -> f64,
     ) -> BTreeMap<ServerId, LateAttempts> {
         let mut late = BTreeMap::new();
         let in_flight = self.attempts_in_flight().map(|(_, attempt)| attempt);
         for attempt in in_flight.filter(|attempt| attempt.expected_by < now) {
-            let chance = benign_cause_chance(attempt);
+            let chance = fill_wait_chance(attempt);
             for server in attempt.server_and_fill_source() {
                 let entry = late.entry(server).or_insert(LateAttempts {
-                    benign_cause_chance: 1.0,
+                    fill_wait_chance: 1.0,
                     first_sent_at: attempt.sent_at,
                 });
-                entry.benign_cause_chance *= chance;
+                entry.fill_wait_chance *= chance;
                 entry.first_sent_at = entry.first_sent_at.min(attempt.sent_at);
             }
         }
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -36,7 +36,8 @@
 pub(crate) struct Charge {
     /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// The transfer time in seconds.
+    /// The charged transfer time in seconds, which applies to a link that the transfer does not
+    /// share.
     pub(crate) transfer_s: f64,
     /// The request of the attempt.
     pub(crate) request: RequestId,
@@ -58,7 +59,7 @@
     pub(crate) cell: u64,
     /// The weight of the server in the endpoint list, or 1 if that is not a positive finite number.
     pub(crate) weight: f64,
-    /// The state of the server in the endpoint list.
+    /// Whether the endpoint list last showed the server as ready, draining or gone.
     pub(crate) lifecycle: EndpointState,
     /// When the process of the server started. `None` if that was long ago.
     pub(crate) started_at: Option<Micros>,
@@ -300,19 +301,19 @@
             request,
         };
         for id in attempt.server_and_fill_source() {
-            self.change(id, |server| {
+            self.modify(id, |server| {
                 server.charges.push_back(charge);
                 server.half_open_probe_in_flight = server.consecutive_ejections > 0;
             });
         }
-        self.change(attempt.server, |server| {
+        self.modify(attempt.server, |server| {
             server.transfers_in_flight.add_to_own(1.0)
         });
     }
 
     /// Records that no connection to a server could be made.
     pub(crate) fn record_connection_failure(&mut self, id: ServerId) {
-        self.change(id, |server| server.unreachable = true);
+        self.modify(id, |server| server.unreachable = true);
     }
 
     /// Records that a connection to a server broke. Returns `false` if a break at the same time was
@@ -325,7 +326,7 @@
 
     /// Removes the charges of a request from its fill source, which did not receive the request.
     pub(crate) fn cancel_charge(&mut self, fill_source: ServerId, request: RequestId) {
-        self.change(fill_source, |server| {
+        self.modify(fill_source, |server| {
             server.charges.retain(|charge| charge.request != request);
         });
     }
@@ -333,11 +334,11 @@
     /// Records that an attempt ended. Ends a half-open probe whatever the outcome of the attempt,
     /// because some outcomes say nothing about the server and the probe would never end otherwise.
     pub(crate) fn record_attempt_ended(&mut self, attempt: &InFlightAttempt) {
-        self.change(attempt.server, |server| {
+        self.modify(attempt.server, |server| {
             server.transfers_in_flight.add_to_own(-1.0)
         });
         for id in attempt.server_and_fill_source() {
-            self.change(id, |server| server.half_open_probe_in_flight = false);
+            self.modify(id, |server| server.half_open_probe_in_flight = false);
         }
     }
 
@@ -350,8 +351,8 @@
         }
     }
 
-    /// Moves the start times of all servers back by `by_us` microseconds.
-    pub(crate) fn move_start_times_back(&mut self, by_us: Micros) {
+    /// Moves the start times of all servers earlier by `by_us` microseconds.
+    pub(crate) fn move_start_times_earlier(&mut self, by_us: Micros) {
         for server in self.servers.values_mut() {
             if let Some(started_at) = &mut server.started_at {
                 *started_at = started_at.saturating_sub(by_us);
@@ -359,10 +360,11 @@
         }
     }
 
-    /// Calls `change` with the server with this id. Does nothing if it is not in the table.
-    pub(crate) fn change(&mut self, id: ServerId, change: impl FnOnce(&mut ServerState)) {
+    /// Calls `modify` with the server that has this id. Does nothing if the server is not in the
+    /// table.
+    pub(crate) fn modify(&mut self, id: ServerId, modify: impl FnOnce(&mut ServerState)) {
         if let Some(server) = self.servers.get_mut(&id) {
-            change(server);
+            modify(server);
         }
     }
 
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -124,7 +124,7 @@
         tenant: None,
         object: "/o/film".into(),
         part: 3,
-        group: 4,
+        purge_group: 4,
         size_kb: 4_000.0,
         remaining_us: 8 * SECOND_US,
         is_retry: false,
@@ -177,7 +177,7 @@
     let mut servers = server_table();
     servers.record_attempt_sent(7, &attempt(0, 1, None), 1.5);
     servers.record_connection_failure(1);
-    servers.change(1, |server| server.failure_rate = 0.4);
+    servers.modify(1, |server| server.failure_rate = 0.4);
     let restarted = Endpoint {
         started_at: Some(SECOND_US),
         ..cache_server(1)
@@ -231,7 +231,7 @@
 #[test]
 fn an_ejected_server_is_available_for_one_half_open_probe_at_a_time() {
     let mut servers = server_table();
-    servers.change(1, |server| {
+    servers.modify(1, |server| {
         server.consecutive_ejections = 1;
         server.ejected_until = 5;
     });
@@ -370,7 +370,7 @@
     let late = requests.late_attempts_by_server(43, |_| 0.5);
     let late_at = |id: u64| {
         late.get(&id)
-            .map(|late| (late.benign_cause_chance, late.first_sent_at))
+            .map(|late| (late.fill_wait_chance, late.first_sent_at))
     };
     assert_eq!(late_at(1), Some((0.5, 10)));
     assert_eq!(
--- a/crates/routing/tests/determinism.rs
+++ b/crates/routing/tests/determinism.rs
@@ -26,7 +26,7 @@
     let object = format!("/o/{}", (step * step + seed) % OBJECTS);
     let request = Request {
         part: step % PARTS,
-        group: 1,
+        purge_group: 1,
         size_kb: 300.0,
         remaining_us: 3 * SECOND_US,
         ..request(step + 1, class, &object)
--- a/crates/routing/tests/purges.rs
+++ b/crates/routing/tests/purges.rs
@@ -9,7 +9,7 @@
 fn permanent_group_purge() -> Event {
     Event::Purged {
         object: None,
-        group: GROUP,
+        purge_group: GROUP,
         age_us: 0,
         permanent: true,
     }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -110,7 +110,7 @@
         let mut actions = Vec::new();
         for number in 0..REQUESTS_PER_ROUTER {
             let request = Request {
-                group: REQUEST_GROUP,
+                purge_group: REQUEST_GROUP,
                 ..request(number + 1, VIDEO, &format!("/o/{number}"))
             };
             router.handle(START_TIME_US, Event::Request(request), &mut actions);
@@ -263,7 +263,7 @@
 fn forward_and_serve(router: &mut Router, now: Micros, id: RequestId) -> Vec<ServerId> {
     const OBJECTS: u64 = 997;
     let request = Request {
-        group: REQUEST_GROUP,
+        purge_group: REQUEST_GROUP,
         ..request(id, VIDEO, &format!("/o/{}", id % OBJECTS))
     };
     let mut actions = Vec::new();
@@ -354,23 +354,23 @@
 
 /// Guards against a slow start that lasts too long after a correction of times.
 #[test]
-fn a_start_time_that_is_moved_back_ends_the_slow_start_sooner() {
-    let attempts_after = |moved_back_us: Micros| {
+fn a_start_time_that_moves_earlier_ends_the_slow_start_sooner() {
+    let attempts_after = |moved_earlier_us: Micros| {
         let mut settings = settings_without_direct_requests();
         settings.zones[LOCAL_ZONE_INDEX].edge_proxies = 1;
         let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
         endpoints[0].started_at = Some(START_TIME_US);
         let mut harness = Harness::new(settings, endpoints);
         harness.handle(Event::TimestampsMovedEarlier {
-            by_us: moved_back_us,
+            by_us: moved_earlier_us,
         });
         (0..200)
             .filter_map(|index| harness.submit(VIDEO, &format!("/o/{index}")).attempt())
             .count()
     };
-    let (not_moved_back, moved_back) = (attempts_after(0), attempts_after(5 * SECOND_US));
+    let (not_moved, moved_earlier) = (attempts_after(0), attempts_after(5 * SECOND_US));
     assert!(
-        moved_back > not_moved_back,
-        "{not_moved_back} attempts, and {moved_back} after the start time was moved back"
+        moved_earlier > not_moved,
+        "{not_moved} attempts, and {moved_earlier} after the start time moved earlier"
     );
 }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -296,17 +296,17 @@
 pub fn object_purge(object: &str, age_us: Micros) -> Event {
     Event::Purged {
         object: Some(object.into()),
-        group: GROUP,
+        purge_group: GROUP,
         age_us,
         permanent: false,
     }
 }
 
 /// Returns the event that a whole purge group was purged `age_us` microseconds ago.
-pub fn group_purge(group: u64, age_us: Micros) -> Event {
+pub fn group_purge(purge_group: u64, age_us: Micros) -> Event {
     Event::Purged {
         object: None,
-        group,
+        purge_group,
         age_us,
         permanent: false,
     }
@@ -320,7 +320,7 @@
         tenant: None,
         object: object.into(),
         part: 0,
-        group: GROUP,
+        purge_group: GROUP,
         size_kb: PART_SIZE_KB,
         remaining_us: CLIENT_TIMEOUT_US,
         is_retry: false,
--- a/crates/sim-adapter/src/event_message.rs
+++ b/crates/sim-adapter/src/event_message.rs
@@ -85,7 +85,7 @@
     #[serde(rename = "segment")]
     part: Option<WholeNumber>,
     #[serde(rename = "purge-group")]
-    group: Option<WholeNumber>,
+    purge_group: Option<WholeNumber>,
     #[serde(rename = "length-kb")]
     size_kb: Option<f64>,
     /// Time until the client gives up. A negative value means that the time has passed.
@@ -163,7 +163,7 @@
     #[serde(rename = "content-id")]
     object: Option<NameOrZero>,
     #[serde(rename = "batch-id")]
-    group: Option<WholeNumber>,
+    purge_group: Option<WholeNumber>,
     #[serde(rename = "how-old-us")]
     age_us: Option<WholeNumber>,
 }
@@ -303,7 +303,7 @@
                 .and_then(|NameOrZero(name)| name)
                 .unwrap_or_default(),
             part: WholeNumber::value_or(message.part, 0),
-            group: WholeNumber::value_or(message.group, 0),
+            purge_group: WholeNumber::value_or(message.purge_group, 0),
             size_kb: message.size_kb.unwrap_or(0.0),
             remaining_us: message.remaining_us.max(0.0) as u64,
             is_retry: WholeNumber::value_or(message.marks, 0) & RETRY_FLAG != 0,
@@ -365,7 +365,7 @@
     fn from(message: Invalidated) -> Self {
         routing::Event::Purged {
             object: message.object.and_then(|NameOrZero(name)| name),
-            group: WholeNumber::value_or(message.group, 0),
+            purge_group: WholeNumber::value_or(message.purge_group, 0),
             age_us: WholeNumber::value_or(message.age_us, 0),
             permanent: false,
         }
--- a/crates/soak/src/cache_server.rs
+++ b/crates/soak/src/cache_server.rs
@@ -56,7 +56,7 @@
     id: String,
     class: String,
     object: u64,
-    group: u64,
+    purge_group: u64,
     fill_source: Option<String>,
     max_age_ms: Option<u64>,
 }
@@ -146,17 +146,17 @@
         let number = |name: &str| field(name).and_then(|text| text.parse::<u64>().ok());
         let object = field("key").and_then(|key| u64::from_str_radix(key, 16).ok());
         let object = object.unwrap_or(0);
-        let group = self
+        let purge_group = self
             .run_state
             .borrow()
             .requests
             .get(&id)
-            .map_or(0, |request| request.group);
+            .map_or(0, |request| request.purge_group);
         let fetch = Fetch {
             id,
             class: field("class").unwrap_or("").to_owned(),
             object,
-            group,
+            purge_group,
             fill_source: field("src").map(str::to_owned),
             max_age_ms: number("maxage").filter(|max_age_ms| *max_age_ms > 0),
         };
@@ -265,7 +265,7 @@
                 let is_purged = run_state.purges.iter().any(|purge| {
                     let is_purge_target = match purge.object {
                         Some(object) => object == fetch.object,
-                        None => purge.group == fetch.group,
+                        None => purge.purge_group == fetch.purge_group,
                     };
                     // Each server removes purged copies after its own delay. The slowest ones need
                     // the whole time.
--- a/crates/soak/src/client/connection.rs
+++ b/crates/soak/src/client/connection.rs
@@ -82,9 +82,9 @@
         let stream = self.next_stream.get();
         self.next_stream.set(stream.checked_add(1).unwrap_or(1));
         let budget = planned_request.budget_ms.to_string();
-        let (size, group) = (
+        let (size, purge_group) = (
             OBJECT_SIZE_KB.to_string(),
-            planned_request.group.to_string(),
+            planned_request.purge_group.to_string(),
         );
         let (key, idempotency_key) = (
             object_key(planned_request.object),
@@ -94,7 +94,7 @@
             ("HTTP_REQUEST_ID", planned_request.id.as_str()),
             ("HTTP_BUDGET_MS", &budget),
             ("HTTP_RESOURCE_KEY", &key),
-            ("HTTP_X_LOT", &group),
+            ("HTTP_X_LOT", &purge_group),
             ("HTTP_FOOTPRINT_KB", &size),
         ];
         if planned_request.class == class::WITH_IDEMPOTENCY_KEY {
--- a/crates/soak/src/client/mod.rs
+++ b/crates/soak/src/client/mod.rs
@@ -89,7 +89,7 @@
     id: String,
     class: &'static str,
     object: u64,
-    group: u64,
+    purge_group: u64,
     budget_ms: u64,
     /// After which time the client cancels the request, and whether it does so by closing the
     /// connection instead of an abort record. `None` if it waits for the answer.
@@ -189,7 +189,7 @@
             id: format!("{:08x}{number:08x}", self.proxy + 1),
             class,
             object,
-            group: object % PURGE_GROUP_COUNT,
+            purge_group: object % PURGE_GROUP_COUNT,
             budget_ms,
             cancel_after,
             on_new_connection,
@@ -280,7 +280,7 @@
             proxy: self.proxy,
             class: planned_request.class,
             object: planned_request.object,
-            group: planned_request.group,
+            purge_group: planned_request.purge_group,
             sent_ms: run_state.now_ms(),
             budget_ms: planned_request.budget_ms,
             cancelled_ms: None,
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -369,8 +369,10 @@
         loop {
             sleep(BUS_PURGE_INTERVAL).await;
             let object = (random.u32(0..6) > 0).then(|| random.u64(1..=24));
-            let group = random.u64(0..4);
-            self.run_state.borrow_mut().publish_purge(object, group);
+            let purge_group = random.u64(0..4);
+            self.run_state
+                .borrow_mut()
+                .publish_purge(object, purge_group);
         }
     }
 
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -204,7 +204,7 @@
         for purge in &self.run_state.purges {
             let is_purge_target = match purge.object {
                 Some(object) => object == request.object,
-                None => purge.group == request.group,
+                None => purge.purge_group == request.purge_group,
             };
             let delivery_ms =
                 self.delivery_ms(request.proxy, purge.event_number, purge.published_ms);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -27,10 +27,10 @@
 /// A purge that is announced on the event bus.
 #[derive(Clone, Debug)]
 pub struct Purge {
-    /// The object to purge, or `None` for every object of the group.
+    /// The object to purge, or `None` for every object of the purge group.
     pub object: Option<u64>,
     /// The purge group.
-    pub group: u64,
+    pub purge_group: u64,
     /// When the purge was made, in Unix milliseconds. Copies created before that are purged.
     pub purged_unix_ms: u64,
     /// The number of the purge's event on the bus.
@@ -82,7 +82,7 @@
     /// The requested object.
     pub object: u64,
     /// The purge group of the object.
-    pub group: u64,
+    pub purge_group: u64,
     /// When the last byte of the request was written, in milliseconds of the run.
     pub sent_ms: u64,
     /// How long the client waits for the answer, in milliseconds.
@@ -304,17 +304,17 @@
     }
 
     /// Publishes a purge that takes effect now.
-    pub fn publish_purge(&mut self, object: Option<u64>, group: u64) {
+    pub fn publish_purge(&mut self, object: Option<u64>, purge_group: u64) {
         let purge = Purge {
             object,
-            group,
+            purge_group,
             purged_unix_ms: self.now_unix_ms(),
             event_number: self.events.len() + 1,
             published_ms: self.now_ms(),
         };
         let ban = match object {
             Some(object) => json!({"url": object_key(object), "ts": purge.purged_unix_ms}),
-            None => json!({"tag": group, "ts": purge.purged_unix_ms}),
+            None => json!({"tag": purge_group, "ts": purge.purged_unix_ms}),
         };
         self.purges.push(purge);
         self.publish(json!({ "ban": ban }));
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -36,7 +36,7 @@
             proxy: PROXY_INDEX,
             class,
             object: OBJECT,
-            group: GROUP,
+            purge_group: GROUP,
             sent_ms: SENT_MS,
             budget_ms: BUDGET_MS,
             cancelled_ms: None,
@@ -176,7 +176,7 @@
     let mut run = RecordedRun::new();
     let purge = Purge {
         object: None,
-        group: GROUP,
+        purge_group: GROUP,
         purged_unix_ms: 1_000_100,
         event_number: 1,
         published_ms: SENT_MS - 1_000,
@@ -184,7 +184,7 @@
     run.run_state.purges.push(purge);
     run.run_state.deliveries[PROXY_INDEX].push((1, SENT_MS - 900));
     assert_eq!(run.rules(), [Rule::NoPurgedCopy]);
-    run.run_state.purges[0].group = GROUP + 1;
+    run.run_state.purges[0].purge_group = GROUP + 1;
     assert_eq!(run.rules(), [], "the purge is for another group");
 
     let mut run = RecordedRun::new();
