--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -20,7 +20,7 @@
     pub known: Option<Object<KnownEventsDocument>>,
     #[expect(
         dead_code,
-        reason = "only checked to be present; edge_settings reads it from the JSON value"
+        reason = "The key must be present. edge_settings reads the settings from the JSON value."
     )]
     pub settings: IgnoredAny,
     pub peer_listen: Option<SocketAddr>,
@@ -42,7 +42,7 @@
     pub offset: Option<WholeNumber>,
     #[expect(
         dead_code,
-        reason = "only checked to be a list; read_event reads each event from the JSON value"
+        reason = "The value must be a list. read_event reads each event from the JSON value."
     )]
     pub batch: Option<Vec<IgnoredAny>>,
 }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -264,7 +264,7 @@
         .filter(|value| *value > 0)
         .ok_or_else(|| ConfigError::Invalid {
             key: format!("limits.{key}"),
-            expected: "a whole number of at least 1",
+            expected: "a positive whole number",
         })
 }
 
--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -35,7 +35,7 @@
         self.random.u64(upper_bound_us / 2..=upper_bound_us)
     }
 
-    /// Resets the delays to the minimum, after the source has answered.
+    /// Resets the delays to the minimum, after the source has responded.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -48,10 +48,10 @@
         self.raise_bound(lead(now, timestamp_us))
     }
 
-    /// Records that a copy made at `made_us` has arrived. Returns by how much the bound has risen,
-    /// as [`observe_event`](Self::observe_event) does.
-    pub fn observe_copy(&mut self, now: Micros, made_us: u64) -> Micros {
-        let lead_us = lead(now, made_us);
+    /// Records that a copy created at `created_us` has arrived. Returns by how much the bound has
+    /// risen, as [`observe_event`](Self::observe_event) does.
+    pub fn observe_copy(&mut self, now: Micros, created_us: u64) -> Micros {
+        let lead_us = lead(now, created_us);
         if lead_us
             > self
                 .min_lead_us
--- a/crates/proxy/src/event_loop/clients/fastcgi.rs
+++ b/crates/proxy/src/event_loop/clients/fastcgi.rs
@@ -8,7 +8,7 @@
 use crate::invariants::Invariant;
 use crate::net::{IoProgress, SlabKey};
 use crate::protocol::ProtocolError;
-use crate::request_table::{Answer, ClientRequest, RequestKey, ResponseTarget};
+use crate::request_table::{Answer, AnswerTarget, ClientRequest, RequestKey};
 use edge_routing::Micros;
 use std::collections::VecDeque;
 
@@ -121,7 +121,7 @@
     pub(in crate::event_loop) fn admit(
         &mut self,
         now: Micros,
-        target: ResponseTarget,
+        target: AnswerTarget,
         request: ClientRequest,
     ) -> Option<RequestKey> {
         let may_admit = !self.shutdown.is_grace_over();
@@ -153,13 +153,13 @@
         let unsent_limit_exceeded =
             self.clients.unsent_answer_bytes > self.limits.unsent_answer_bytes;
         // A client that sends very many requests must leave room for the requests of other clients.
-        let client_limit_exceeded = !self.limits.allows_open_requests(
+        let client_limit_exceeded = !self.limits.allows_unanswered_requests(
             session.unanswered() - requests_behind,
             self.request_table.is_half_full(),
         );
         let rejected =
             unsent_limit_exceeded || client_limit_exceeded || self.shutdown.is_grace_over();
-        let target = ResponseTarget {
+        let target = AnswerTarget {
             connection: key,
             stream: u32::from(stream),
         };
@@ -190,10 +190,10 @@
     }
 
     /// Sends a client the final answer to its request, over the protocol of its connection.
-    pub(in crate::event_loop) fn respond(
+    pub(in crate::event_loop) fn send_answer(
         &mut self,
         now: Micros,
-        target: ResponseTarget,
+        target: AnswerTarget,
         answer: Answer,
     ) {
         let Some(connection) = self.connections.get_mut(target.connection) else {
@@ -205,7 +205,7 @@
                 self.write_fastcgi_client(target.connection);
             }
             ConnectionRole::InterconnectClient(_) => {
-                self.respond_to_interconnect_client(now, target.connection, answer);
+                self.answer_interconnect_client(now, target.connection, answer);
             }
             _ => {}
         }
--- a/crates/proxy/src/event_loop/clients/mod.rs
+++ b/crates/proxy/src/event_loop/clients/mod.rs
@@ -196,8 +196,8 @@
             let retry_at = now + self.limits.local_error_retry_interval_us;
             self.timers.schedule(retry_at, TimerEvent::CheckClient(key));
         } else if !has_expired(deadline) {
-            let next_sweep = now + self.limits.client_check_interval_us;
-            let next_check = deadline.map_or(next_sweep, |at| at.min(next_sweep));
+            let regular_check = now + self.limits.client_check_interval_us;
+            let next_check = deadline.map_or(regular_check, |at| at.min(regular_check));
             self.timers
                 .schedule(next_check, TimerEvent::CheckClient(key));
         } else if matches!(class, EvictionClass::Busy | EvictionClass::Lingering) {
--- a/crates/proxy/src/event_loop/close_reason.rs
+++ b/crates/proxy/src/event_loop/close_reason.rs
@@ -33,7 +33,7 @@
     PartialRequestLimit,
     /// A connection to a cache server is broken, stalled, or ended in the middle of an answer.
     UpstreamUnusable,
-    /// A cache server is draining or no longer in the endpoint list, and no answer is pending on
+    /// A cache server is draining or no longer in the endpoint list, and no answer is awaited on
     /// this connection.
     ServerDrained,
     /// A connection to a cache server is unresponsive and is replaced by another one.
@@ -42,7 +42,7 @@
     EventBusAddressChanged,
     /// The event bus has sent nothing for too long.
     EventBusSilent,
-    /// Another connection to the event bus was answered first.
+    /// The event bus responded on another connection first.
     EventBusSuperseded,
     /// The response for which the connection was opened has not arrived in time.
     ResponseTimeout,
@@ -50,7 +50,7 @@
 
 impl CloseReason {
     /// Returns whether the peer has closed the connection or made it unusable. Such a peer need not
-    /// get answers to its open requests.
+    /// get answers to its unanswered requests.
     pub(super) fn is_caused_by_peer(self) -> bool {
         matches!(
             self,
@@ -82,7 +82,9 @@
             CloseReason::UpstreamUnresponsive => "the cache server is unresponsive",
             CloseReason::EventBusAddressChanged => "the address of the event bus has changed",
             CloseReason::EventBusSilent => "the event bus has sent nothing for too long",
-            CloseReason::EventBusSuperseded => "the event bus answered on another connection first",
+            CloseReason::EventBusSuperseded => {
+                "the event bus responded on another connection first"
+            }
             CloseReason::ResponseTimeout => "response timeout",
         })
     }
--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -234,7 +234,7 @@
     }
 
     /// Closes an outgoing connection that was not established within the connect timeout. A
-    /// connection to the event bus is kept open instead, beside a new one.
+    /// connection to the event bus is kept open instead, in addition to a new one.
     pub(super) fn handle_connect_timeout(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
--- a/crates/proxy/src/event_loop/event_bus.rs
+++ b/crates/proxy/src/event_loop/event_bus.rs
@@ -14,15 +14,15 @@
 /// State of the subscription. The address of the event bus is part of the configuration, which can
 /// change on SIGHUP.
 ///
-/// An overloaded event bus may take seconds to accept a connection or to answer on it, and a
+/// An overloaded event bus may take seconds to accept a connection or to respond on it, and a
 /// vanished one never does. The proxy cannot distinguish the two cases. So it keeps a slow
-/// connection open for a while and tries another one beside it. It uses the connection on which the
-/// event bus answers first.
+/// connection open for a while and tries another one at the same time. It uses the connection on
+/// which the event bus responds first.
 pub(super) struct EventBusSubscription {
     /// The connection in use, or the one that was opened last. `None` if there is no connection.
     pub(super) connection: Option<SlabKey>,
-    /// A connection that was opened earlier than `connection` and has not been answered yet.
-    unanswered_connection: Option<SlabKey>,
+    /// A connection that was opened earlier than `connection` and has not received any data yet.
+    silent_connection: Option<SlabKey>,
     /// Timer of the next check. At most one is set.
     check_timer: Option<TimerKey>,
     /// Id of the last received event. A new connection requests the events after it.
@@ -34,7 +34,7 @@
     pub(super) fn new(last_event_id: u64, limits: &Limits, seed: u64) -> Self {
         EventBusSubscription {
             connection: None,
-            unanswered_connection: None,
+            silent_connection: None,
             check_timer: None,
             last_event_id,
             backoff: Backoff::new(
@@ -65,9 +65,9 @@
     /// Reconnects at once after the address of the event bus has changed, and requests the events
     /// after the last received one at the new address.
     pub(super) fn reconnect_at_new_event_bus_address(&mut self, now: Micros) {
-        let unanswered = self.event_bus.unanswered_connection.take();
+        let silent = self.event_bus.silent_connection.take();
         let connection = self.event_bus.connection.take();
-        for old in [unanswered, connection].into_iter().flatten() {
+        for old in [silent, connection].into_iter().flatten() {
             self.close(now, old, CloseReason::EventBusAddressChanged);
         }
         self.event_bus.backoff.reset();
@@ -96,41 +96,42 @@
         let Some(stream) = self.event_stream(key) else {
             return self.connect_event_bus(now);
         };
-        let silence_timeout_at = stream.last_read_at() + self.limits.event_bus_idle_timeout_us;
-        if now < silence_timeout_at {
-            return self.schedule_event_bus_check(silence_timeout_at);
+        let idle_timeout_at = stream.last_read_at() + self.limits.event_bus_idle_timeout_us;
+        if now < idle_timeout_at {
+            return self.schedule_event_bus_check(idle_timeout_at);
         }
-        let has_answered = stream.has_received_data();
+        let has_received_data = stream.has_received_data();
         log::warn!(
             "event bus connection {:x} received nothing for {} ms, opening another one",
             key.to_u64(),
             self.limits.event_bus_idle_timeout_us / 1_000
         );
         self.event_bus.connection = None;
-        if has_answered {
+        if has_received_data {
             self.close(now, key, CloseReason::EventBusSilent);
         } else {
-            self.keep_unanswered_connection(now, key);
+            self.keep_silent_connection(now, key);
         }
         self.connect_event_bus(now);
     }
 
-    /// Handles the connect timeout of a connection to the event bus. The connection is kept open
-    /// beside a new one, unless an earlier connection is kept that may still be answered in time.
+    /// Handles the connect timeout of a connection to the event bus. The connection is kept open in
+    /// addition to a new one, unless an earlier connection is kept on which the event bus may still
+    /// respond in time.
     pub(super) fn handle_event_bus_connect_timeout(&mut self, now: Micros, key: SlabKey) {
         if self.event_bus.connection == Some(key) {
             self.event_bus.connection = None;
-            self.keep_unanswered_connection(now, key);
+            self.keep_silent_connection(now, key);
             self.schedule_event_bus_reconnect(now);
         }
     }
 
-    /// Keeps an unanswered connection open beside the connection in use. If an earlier unanswered
-    /// connection is already kept, closes the earlier one if it has been open for
-    /// `Limits::event_bus_response_timeout_us`, and otherwise closes the new one.
-    fn keep_unanswered_connection(&mut self, now: Micros, key: SlabKey) {
-        let Some(earlier) = self.event_bus.unanswered_connection else {
-            self.event_bus.unanswered_connection = Some(key);
+    /// Keeps a connection that has not received any data open in addition to the connection in use.
+    /// If an earlier such connection is already kept, closes the earlier one if it has been open
+    /// for `Limits::event_bus_response_timeout_us`, and otherwise closes the new one.
+    fn keep_silent_connection(&mut self, now: Micros, key: SlabKey) {
+        let Some(earlier) = self.event_bus.silent_connection else {
+            self.event_bus.silent_connection = Some(key);
             return;
         };
         let opened_at = self
@@ -139,7 +140,7 @@
         let is_overdue =
             opened_at.is_none_or(|at| now >= at + self.limits.event_bus_response_timeout_us);
         let to_close = if is_overdue {
-            self.event_bus.unanswered_connection = Some(key);
+            self.event_bus.silent_connection = Some(key);
             earlier
         } else {
             key
@@ -151,10 +152,10 @@
     /// connection in use, and another one that is being tried is closed.
     fn select_event_bus_connection(&mut self, now: Micros, key: SlabKey) {
         self.event_bus.backoff.reset();
-        if self.event_bus.unanswered_connection != Some(key) {
+        if self.event_bus.silent_connection != Some(key) {
             return;
         }
-        self.event_bus.unanswered_connection = None;
+        self.event_bus.silent_connection = None;
         if let Some(other) = self.event_bus.connection.replace(key) {
             self.close(now, other, CloseReason::EventBusSuperseded);
         }
@@ -173,8 +174,8 @@
     /// silence, needs no further replacement.
     pub(super) fn handle_event_bus_closed(&mut self, now: Micros, key: SlabKey) {
         self.event_bus
-            .unanswered_connection
-            .take_if(|unanswered| *unanswered == key);
+            .silent_connection
+            .take_if(|silent| *silent == key);
         if self.event_bus.connection == Some(key) {
             self.event_bus.connection = None;
             self.schedule_event_bus_reconnect(now);
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -12,11 +12,11 @@
 use crate::net::{IoProgress, SlabKey};
 use crate::protocol::http::Message;
 use crate::protocol::ProtocolError;
-use crate::request_table::{Answer, ClientRequest, ResponseTarget};
+use crate::request_table::{Answer, AnswerTarget, ClientRequest};
 use edge_routing::Micros;
 
 /// Stream number of every interconnect request. One number is enough because each connection has at
-/// most one open request.
+/// most one unanswered request.
 const SINGLE_STREAM: u32 = 0;
 
 /// State of the interconnection with peer CDNs.
@@ -118,7 +118,7 @@
             return;
         };
         session.deadline = now + request.remaining_us;
-        let target = ResponseTarget {
+        let target = AnswerTarget {
             connection: key,
             stream: SINGLE_STREAM,
         };
@@ -163,12 +163,7 @@
     }
 
     /// Sends an interconnect client the final answer to its request.
-    pub(super) fn respond_to_interconnect_client(
-        &mut self,
-        now: Micros,
-        key: SlabKey,
-        answer: Answer,
-    ) {
+    pub(super) fn answer_interconnect_client(&mut self, now: Micros, key: SlabKey, answer: Answer) {
         let Some((_, session)) = self.connections.interconnect_client_mut(key) else {
             return;
         };
--- a/crates/proxy/src/event_loop/mod.rs
+++ b/crates/proxy/src/event_loop/mod.rs
@@ -42,7 +42,7 @@
 use crate::invariants::Invariant;
 use crate::limits::Limits;
 use crate::net::{Clock, Poller, Readiness, Slab, SlabKey, TimerQueue};
-use crate::request_table::{Answer, Command, RequestTable, ResponseTarget};
+use crate::request_table::{Answer, AnswerTarget, Command, RequestTable};
 use acceptor::{Acceptor, Acceptors, ListenerKind};
 use clients::ClientAccounting;
 use connections::Connection;
@@ -201,7 +201,7 @@
             Command::SendAttempt(attempt) => self.send_attempt(now, attempt),
             Command::CancelAttempt(attempt, server) => self.cancel_attempt(now, attempt, server),
             Command::DequeueAttempt(attempt, server) => self.dequeue_attempt(now, attempt, server),
-            Command::Respond(target, answer) => self.deliver_answer(now, target, answer),
+            Command::SendAnswer(target, answer) => self.deliver_answer(now, target, answer),
             Command::SetTimer(at, timer) => {
                 self.timers.schedule(at, TimerEvent::Request(timer));
             }
@@ -212,8 +212,8 @@
 
     /// Sends a client the final answer to a request, and closes the connection gracefully if no
     /// further answer will follow on it.
-    fn deliver_answer(&mut self, now: Micros, target: ResponseTarget, answer: Answer) {
-        self.respond(now, target, answer);
+    fn deliver_answer(&mut self, now: Micros, target: AnswerTarget, answer: Answer) {
+        self.send_answer(now, target, answer);
         if let Err(reason) = self.write(now, target.connection) {
             self.close_gracefully(now, target.connection, reason);
         }
--- a/crates/proxy/src/event_loop/notifications.rs
+++ b/crates/proxy/src/event_loop/notifications.rs
@@ -21,7 +21,7 @@
 pub(super) struct NotificationDelivery {
     notification: Notification,
     attempts: u32,
-    /// HTTP status with which the peer CDN answered the current attempt, if it has answered.
+    /// HTTP status of the response of the peer CDN to the current attempt, if it has responded.
     status: Option<u16>,
     response: MessageParser,
 }
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// Returns whether the peer CDN has answered the current attempt.
+    /// Returns whether the peer CDN has responded to the current attempt.
     pub(super) fn has_response(&self) -> bool {
         self.status.is_some()
     }
--- a/crates/proxy/src/event_loop/purge_gossip.rs
+++ b/crates/proxy/src/event_loop/purge_gossip.rs
@@ -95,7 +95,7 @@
     /// but not yet written to the disk. Returns true also if the request table has no room for the
     /// purge, so that it is not in force.
     pub(super) fn purge_permanently(&mut self, now: Micros, purge: Purge) -> bool {
-        // The purge is dated `now`, because its time stamp comes from a clock that may be wrong.
+        // The purge is dated `now`, because its timestamp comes from a clock that may be wrong.
         let (object, purge_group) = (purge.object.clone(), purge.purge_group);
         let is_in_force = self
             .request_table
--- a/crates/proxy/src/event_loop/readiness.rs
+++ b/crates/proxy/src/event_loop/readiness.rs
@@ -219,7 +219,7 @@
     ///
     /// Returns the reason for closing the connection if nothing more will be sent on it. Either the
     /// client has asked for it to be closed, or the grace period of a shutdown is over and no
-    /// request is open or partially received.
+    /// request is unanswered or partially received.
     fn check_client_is_unfinished(&self, key: SlabKey) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get(key) else {
             return Ok(());
@@ -233,8 +233,8 @@
         if session.is_finished() {
             return Err(CloseReason::Finished);
         }
-        let has_no_open_request = session.is_idle() && !session.has_partial_input();
-        if self.shutdown.is_grace_over() && has_no_open_request {
+        let has_no_request = session.is_idle() && !session.has_partial_input();
+        if self.shutdown.is_grace_over() && has_no_request {
             return Err(CloseReason::ShuttingDown);
         }
         Ok(())
--- a/crates/proxy/src/event_loop/shutdown.rs
+++ b/crates/proxy/src/event_loop/shutdown.rs
@@ -6,8 +6,8 @@
 //! 2. At the end of the grace period (`end_shutdown_grace`) the proxy stops accepting connections
 //!    and rejects further requests. It closes each client connection once all requests on the
 //!    connection are answered.
-//! 3. At the shutdown deadline (`handle_shutdown_deadline`) the proxy answers all open requests as
-//!    failed, because SIGKILL may follow.
+//! 3. At the shutdown deadline (`handle_shutdown_deadline`) the proxy answers all unsettled
+//!    requests as failed, because SIGKILL may follow.
 //! 4. Once the last client connection is closed (`is_shut_down`), `run` returns.
 
 use super::acceptor::ListenerKind;
@@ -49,7 +49,7 @@
         }
         self.shutdown = Shutdown::Grace;
         log::info!(
-            "SIGTERM received: accepting requests for {} ms more, then exiting once all open \
+            "SIGTERM received: accepting requests for {} ms more, then exiting once all \
              requests are answered",
             self.limits.shutdown_grace_us / 1_000
         );
@@ -64,7 +64,7 @@
         );
     }
 
-    /// Ends the grace period. No request is admitted afterwards, because it might still be open
+    /// Ends the grace period. No request is admitted afterwards, because it might still be pending
     /// when the process is killed. Earlier requests are answered, and each client connection is
     /// closed once all requests on the connection are answered.
     pub(super) fn end_shutdown_grace(&mut self, now: Micros) {
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Answers all open requests as failed and closes the FastCGI listener, because the process may
-    /// be killed from now on. Connections that are not yet accepted get no answer.
+    /// Answers all unsettled requests as failed and closes the FastCGI listener, because the
+    /// process may be killed from now on. Connections that are not yet accepted get no answer.
     pub(super) fn handle_shutdown_deadline(&mut self, now: Micros) {
         self.acceptors.fastcgi = None;
-        self.request_table.fail_all_pending(now);
+        self.request_table.fail_all_unsettled(now);
     }
 
     /// Returns whether the shutdown is complete and `run` may return. An open client connection
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -184,7 +184,7 @@
             .and_then(|interconnect| interconnect.purge_log.as_ref());
         let stored_purges = purge_log.map(PurgeLog::purges).unwrap_or_default();
         for purge in stored_purges {
-            // The purge is dated `now`, so that it covers every copy made before this start. The
+            // The purge is dated `now`, so that it covers every copy created before this start. The
             // stored time comes from a clock that may have been wrong.
             self.request_table
                 .purge_permanently(now, purge.object, purge.purge_group, now);
--- a/crates/proxy/src/event_loop/timer.rs
+++ b/crates/proxy/src/event_loop/timer.rs
@@ -53,7 +53,7 @@
     },
     /// End the grace period that began with SIGTERM.
     EndShutdownGrace,
-    /// Answer all open requests, because the process may be killed right after this.
+    /// Answer all unsettled requests, because the process may be killed right after this.
     ShutdownDeadline,
 }
 
--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -111,8 +111,11 @@
         let request_id = request.id.as_str();
         let candidate = |key: &SlabKey| {
             let (transport, upstream) = self.connections.upstream(*key)?;
-            let attempts_in_flight =
-                upstream.load_if_available(request_id, &self.request_table, &self.limits)?;
+            let attempts_in_flight = upstream.outstanding_count_if_available(
+                request_id,
+                &self.request_table,
+                &self.limits,
+            )?;
             Some(Candidate {
                 has_no_cancelled_attempt: !upstream.has_recent_cancellation(request_id),
                 is_connecting: !transport.is_connected,
--- a/crates/proxy/src/event_loop/upstreams/mod.rs
+++ b/crates/proxy/src/event_loop/upstreams/mod.rs
@@ -63,8 +63,8 @@
         let mut events = Vec::new();
         let result = upstream.read(now, transport, &self.request_table, &mut events);
         if events.iter().any(UpstreamEvent::allows_further_attempt) {
-            // The connection remembers such an attempt for `stream_retention_us`. The check removes it
-            // after that time.
+            // The connection remembers such an attempt for `stream_retention_us`. The check removes
+            // it after that time.
             self.timers.schedule(
                 now + self.limits.stream_retention_us + 1,
                 TimerEvent::CheckUpstream(key),
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// Returns the reason for closing the connection if it is unusable, or if its server is
-    /// draining or gone and no answer is pending.
+    /// draining or gone and no answer is awaited.
     pub(in crate::event_loop) fn flush_upstream(
         &mut self,
         now: Micros,
@@ -131,7 +131,7 @@
             self.timers.schedule(at, TimerEvent::CheckUpstream(key));
         }
         // A server that is draining or gone gets no new attempts. Its connections are closed once
-        // all pending answers have arrived. If its machine has vanished, nothing else would close
+        // all awaited answers have arrived. If its machine has vanished, nothing else would close
         // them.
         let is_drained = upstream.is_idle() && !self.request_table.is_server_ready(server);
         self.report_upstream_events(now, server, events);
--- a/crates/proxy/src/event_loop/upstreams/parked.rs
+++ b/crates/proxy/src/event_loop/upstreams/parked.rs
@@ -16,7 +16,7 @@
     first_tried_at: Micros,
 }
 
-/// The parked attempts, oldest first. Their number is bounded by the number of open requests.
+/// The parked attempts, oldest first. Their number is bounded by the number of pending requests.
 #[derive(Default)]
 pub(super) struct ParkedAttempts {
     attempts: Vec<ParkedAttempt>,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,7 +2,7 @@
 //! single thread with one epoll loop.
 //!
 //! - `event_loop` owns the sockets and timers and connects all other modules.
-//! - `request_table` holds the open requests and their attempts, and calls the routing module.
+//! - `request_table` holds the pending requests and their attempts, and calls the routing module.
 //! - `frontend` and `upstream` translate between the request table and the protocols of clients and
 //!   cache servers.
 //! - `discovery` reads the endpoint list and purges.
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -51,18 +51,18 @@
     pub eviction_grace_us: Micros,
 
     // ---- Requests of clients ----
-    /// Open requests in total.
-    pub open_requests: usize,
-    /// Open requests on one client connection.
+    /// Pending requests in total, which are all requests in the request table.
+    pub pending_requests: usize,
+    /// Unanswered requests on one client connection.
     pub requests_per_client: usize,
-    /// Open requests on one client connection while the request table is at least half full, so
-    /// that one client leaves room for the others.
+    /// Unanswered requests on one client connection while the request table is at least half full,
+    /// so that one client leaves room for the others.
     pub requests_per_client_when_half_full: usize,
     /// Size of the parameters of one request.
     pub params_bytes: usize,
     /// Size of the body of one request.
     pub body_bytes: usize,
-    /// Total size of the bodies of all open requests.
+    /// Total size of the bodies of all pending requests.
     pub total_body_bytes: usize,
     /// Total size of all partially received requests.
     pub partial_request_bytes: usize,
@@ -88,8 +88,8 @@
     /// A final answer is sent this long before the client's time limit, because it takes time to
     /// arrive.
     pub answer_lead_us: Micros,
-    /// How often an open request is checked before its deadline. With a check only at the deadline,
-    /// requests that ended long before would stay in memory until then.
+    /// How often a pending request is checked before its deadline. With a check only at the
+    /// deadline, requests that ended long before would stay in memory until then.
     pub deadline_check_interval_us: Micros,
     /// The Retry-After for a request that is rejected because the request table is full.
     pub retry_after_us: Micros,
@@ -182,8 +182,8 @@
     /// New connections and requests are accepted for this long. A later request would have too
     /// little time left before SIGKILL.
     pub shutdown_grace_us: Micros,
-    /// Requests that are still open at this time are answered at once, because the process may be
-    /// killed right after.
+    /// Requests that are still unsettled at this time are answered at once, because the process may
+    /// be killed right after.
     pub shutdown_deadline_us: Micros,
 
     // ---- Log ----
@@ -197,7 +197,7 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// A restart waits for the deadlines of open requests up to this length.
+/// A restart waits for the deadlines of unsettled requests up to this length.
 const MAX_RESTART_DEADLINE_US: Micros = 3 * SECOND;
 /// SIGKILL follows SIGTERM after the longest request deadline and this time.
 const RESTART_GRACE_US: Micros = 700 * MILLISECOND;
@@ -210,10 +210,10 @@
 const MIN_OTHER_CONNECTIONS: usize = 16;
 /// Limits are derived from at least this much memory, even on a machine that has less.
 const MIN_MEMORY_MB: usize = 16;
-/// Limit of open requests on a machine with enough memory.
-const MAX_OPEN_REQUESTS: usize = 8192;
-/// The machine must have this much memory for each open request.
-const MEMORY_PER_OPEN_REQUEST_BYTES: usize = 16 * KIB;
+/// Limit of pending requests on a machine with enough memory.
+const MAX_PENDING_REQUESTS: usize = 8192;
+/// The machine must have this much memory for each pending request.
+const MEMORY_PER_PENDING_REQUEST_BYTES: usize = 16 * KIB;
 
 /// The limits of a machine with 1,024 file descriptors and 192 MB of memory.
 /// [`Limits::for_machine`] replaces those that depend on the machine.
@@ -234,7 +234,7 @@
     lingering_close_bytes: 256 * KIB,
     eviction_grace_us: 150 * MILLISECOND,
 
-    open_requests: MAX_OPEN_REQUESTS,
+    pending_requests: MAX_PENDING_REQUESTS,
     requests_per_client: 32,
     requests_per_client_when_half_full: 4,
     params_bytes: 16 * KIB,
@@ -306,7 +306,8 @@
             connections: file_descriptors
                 .saturating_sub(RESERVED_FILE_DESCRIPTORS)
                 .max(client_connections + MIN_OTHER_CONNECTIONS),
-            open_requests: MAX_OPEN_REQUESTS.min(memory_bytes / MEMORY_PER_OPEN_REQUEST_BYTES),
+            pending_requests: MAX_PENDING_REQUESTS
+                .min(memory_bytes / MEMORY_PER_PENDING_REQUEST_BYTES),
             total_body_bytes: memory_bytes / 4,
             partial_request_bytes: memory_bytes / 8,
             unsent_answer_bytes: memory_bytes / 4,
@@ -314,15 +315,15 @@
         }
     }
 
-    /// Returns how long after SIGTERM the requests that are still open are answered, given the
+    /// Returns how long after SIGTERM the requests that are still unsettled are answered, given the
     /// longest deadline of all classes.
     pub fn shutdown_deadline_us(longest_deadline_us: Micros) -> Micros {
         longest_deadline_us.min(MAX_RESTART_DEADLINE_US) + RESTART_GRACE_US - KILL_LEAD_US
     }
 
-    /// Returns whether a client connection may have `unanswered` open requests.
+    /// Returns whether a client connection may have `unanswered` requests without an answer.
     /// `is_table_half_full` says whether at least half of the request table is in use.
-    pub fn allows_open_requests(&self, unanswered: usize, is_table_half_full: bool) -> bool {
+    pub fn allows_unanswered_requests(&self, unanswered: usize, is_table_half_full: bool) -> bool {
         let limit = if is_table_half_full {
             self.requests_per_client_when_half_full
         } else {
--- a/crates/proxy/src/request_table/attempt.rs
+++ b/crates/proxy/src/request_table/attempt.rs
@@ -43,9 +43,9 @@
     pub load: Option<LoadReport>,
     /// The content of the answer. Used only with the outcome `Ok`.
     pub content: Option<Content>,
-    /// When the origin sent out the copy from which the answer was made: a timestamp of the origin,
-    /// in Unix microseconds. `None` if the answer does not name it.
-    pub copy_made_at_us: Option<u64>,
+    /// When the copy in the answer was created, which is when the origin sent it out: a timestamp
+    /// of the origin, in Unix microseconds. `None` if the answer does not name it.
+    pub copy_created_at_us: Option<u64>,
 }
 
 impl From<Outcome> for AttemptResult {
@@ -57,7 +57,7 @@
             fill_ttfb_us: 0,
             load: None,
             content: None,
-            copy_made_at_us: None,
+            copy_created_at_us: None,
         }
     }
 }
--- a/crates/proxy/src/request_table/command.rs
+++ b/crates/proxy/src/request_table/command.rs
@@ -1,7 +1,7 @@
 //! The commands that the request table gives to the event loop.
 
 use super::attempt::AttemptId;
-use super::request::{Answer, RequestKey, ResponseTarget};
+use super::request::{Answer, AnswerTarget, RequestKey};
 use edge_routing::{Micros, ServerId};
 
 /// A timer of the request table. The event loop passes it back unchanged when it fires. A timer
@@ -28,7 +28,7 @@
     /// written continues.
     DequeueAttempt(AttemptId, ServerId),
     /// Sends the final answer to a client.
-    Respond(ResponseTarget, Answer),
+    SendAnswer(AnswerTarget, Answer),
     /// Sets a timer: `RequestTable::timer_fired` must be called with it at this time, in
     /// microseconds of the loop's clock.
     SetTimer(Micros, RequestTimer),
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -30,7 +30,7 @@
 pub use self::command::{Command, RequestTimer};
 pub use self::counters::RequestCounters;
 pub use self::log_rate::{LogRateLimiter, SuppressedLines};
-pub use self::request::{Answer, ClientRequest, Content, RequestKey, ResponseTarget};
+pub use self::request::{Answer, AnswerTarget, ClientRequest, Content, RequestKey};
 pub use self::servers::{server_id, ListedServer, ServerAddress};
 pub use self::trace::{AttemptTrace, RequestEnding, RequestTrace};
 
@@ -52,7 +52,7 @@
 /// makes the decisions about both.
 ///
 /// Invariants:
-/// - An admitted request gets exactly one final answer, as one [`Command::Respond`], at its
+/// - An admitted request gets exactly one final answer, as one [`Command::SendAnswer`], at its
 ///   deadline at the latest. If its client disconnects before that, the request gets no answer.
 /// - A request has at most one attempt in flight.
 /// - Reports about attempts, timers and requests that have already ended change nothing.
@@ -78,7 +78,7 @@
     /// How long before the client stops waiting the final answer is due.
     answer_lead_us: Micros,
     /// The longest delay for which a deadline timer is set.
-    sweep_interval_us: Micros,
+    check_interval_us: Micros,
 }
 
 impl RequestTable {
@@ -89,10 +89,10 @@
             idempotency_rules: IdempotencyRules::from_settings(&settings),
             router: Router::new(settings, seed)?,
             action_buffer: Vec::new(),
-            requests: PendingRequests::new(limits.open_requests, limits.total_body_bytes),
+            requests: PendingRequests::new(limits.pending_requests, limits.total_body_bytes),
             deadline_timing: DeadlineTiming {
                 answer_lead_us: limits.answer_lead_us,
-                sweep_interval_us: limits.deadline_check_interval_us,
+                check_interval_us: limits.deadline_check_interval_us,
             },
             servers: ServerDirectory::default(),
             permanent_purges: PermanentPurges::new(limits.permanent_purges),
@@ -243,22 +243,22 @@
         }
     }
 
-    /// Notifies the router that timestamps converted earlier lie `by_us` further in the past. Does
-    /// nothing if `by_us` is 0.
+    /// Notifies the router that timestamps which were already converted move earlier by `by_us`.
+    /// Does nothing if `by_us` is 0.
     fn report_time_shift(&mut self, now: Micros, by_us: Micros) {
         if by_us > 0 {
             log::debug!(
                 "reference time is {by_us} us further ahead of the local clock than known before; \
-                 moving earlier purge and server start times back by that amount"
+                 moving known purge and server start times earlier by that amount"
             );
             self.handle_event(now, Event::TimestampsMovedEarlier { by_us });
         }
     }
 
-    /// Converts the time at which a copy was made from Unix microseconds of the origin to the
+    /// Converts the time at which a copy was created from Unix microseconds of the origin to the
     /// loop's clock.
-    pub fn copy_made_at(&self, made_at_us: u64) -> Micros {
-        self.reference_time.to_local(made_at_us)
+    pub fn copy_created_at(&self, created_at_us: u64) -> Micros {
+        self.reference_time.to_local(created_at_us)
     }
 
     fn apply_purge(&mut self, now: Micros, purge: Purge) {
@@ -271,11 +271,11 @@
     pub fn admit(
         &mut self,
         now: Micros,
-        response_target: ResponseTarget,
+        answer_target: AnswerTarget,
         request: ClientRequest,
     ) -> Result<RequestKey, AdmissionError> {
         let id = log::log_enabled!(log::Level::Debug).then(|| request.id.clone());
-        let admitted = self.admit_unlogged(now, response_target, request);
+        let admitted = self.admit_unlogged(now, answer_target, request);
         if let (Err(reason), Some(id)) = (&admitted, id) {
             log::debug!("request {id}: rejected without admission: {reason}");
         }
@@ -285,7 +285,7 @@
     fn admit_unlogged(
         &mut self,
         now: Micros,
-        response_target: ResponseTarget,
+        answer_target: AnswerTarget,
         mut request: ClientRequest,
     ) -> Result<RequestKey, AdmissionError> {
         if self.idempotency_rules.lacks_required_key(&request) {
@@ -294,7 +294,7 @@
         request.remaining_us = request
             .remaining_us
             .saturating_sub(self.deadline_timing.answer_lead_us);
-        let pending = PendingRequest::new(now, response_target, request);
+        let pending = PendingRequest::new(now, answer_target, request);
         let request_key = self.requests.insert(pending)?;
         self.counters.admitted += 1;
         self.set_deadline_timer(now, request_key);
@@ -353,11 +353,11 @@
         pending
             .trace
             .attempt_ended(ended.attempt_trace(now, &result));
-        if let Some(made_at_us) = result
-            .copy_made_at_us
+        if let Some(created_at_us) = result
+            .copy_created_at_us
             .filter(|_| result.outcome == Outcome::Ok)
         {
-            let shift_us = self.reference_time.observe_copy(now, made_at_us);
+            let shift_us = self.reference_time.observe_copy(now, created_at_us);
             self.report_time_shift(now, shift_us);
         }
         let content = result.content.take();
@@ -400,7 +400,7 @@
 
     /// Fails every request that still needs a final answer. A shutdown calls this when the process
     /// may be killed at any moment: `Failed` is the answer that claims nothing about what ran.
-    pub fn fail_all_pending(&mut self, now: Micros) {
+    pub fn fail_all_unsettled(&mut self, now: Micros) {
         for request_key in self.requests.keys() {
             self.fail_if_unsettled(now, request_key);
         }
--- a/crates/proxy/src/request_table/pending_requests.rs
+++ b/crates/proxy/src/request_table/pending_requests.rs
@@ -74,9 +74,9 @@
             .is_some_and(|pending| !pending.is_settled())
     }
 
-    /// Makes the attempts in flight accept no copy made before a purge. This matters for an attempt
-    /// that still waits for its connection: the router decided on it before the purge, and it may
-    /// be sent after the grace period that the router allows for purges.
+    /// Makes the attempts in flight accept no copy created before a purge. This matters for an
+    /// attempt that still waits for its connection: the router decided on it before the purge, and
+    /// it may be sent after the grace period that the router allows for purges.
     pub(super) fn lower_max_age(&mut self, now: Micros, purge: &Purge) {
         let max_age_us = purge.max_age_us(now);
         for request_key in self.slab.keys() {
--- a/crates/proxy/src/request_table/request.rs
+++ b/crates/proxy/src/request_table/request.rs
@@ -12,7 +12,7 @@
 /// The destination of a final answer: a client connection of a frontend, and the request's number
 /// on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ResponseTarget {
+pub struct AnswerTarget {
     /// Key of the client connection.
     pub connection: SlabKey,
     /// Number that the frontend gave the request on that connection.
@@ -91,18 +91,21 @@
     Failed,
 }
 
-/// A request from its admission until it is settled and has no attempt in flight.
+/// A request in the table, with its attempt in flight.
 ///
-/// A request is settled once its final answer is given or its client has disconnected.
+/// A request is *unsettled* until its final answer is given or its client has disconnected, and
+/// *settled* from then on. It is *pending* from its admission until it is settled and has no
+/// attempt in flight. A client connection counts its *unanswered* requests, which have no final
+/// answer yet.
 ///
 /// Invariants:
-/// - Exactly one final answer: the response target is held from the admission on and is released
-///   only by `settle`, once. No answer can be given without it, so no later event can cause a
-///   second answer.
+/// - Exactly one final answer: the answer target is held from the admission on and is released only
+///   by `settle`, once. No answer can be given without it, so no later event can cause a second
+///   answer.
 /// - At most one attempt is in flight.
 pub(super) struct PendingRequest {
     /// Where the final answer goes. `None` once the request is settled.
-    response_target: Option<ResponseTarget>,
+    answer_target: Option<AnswerTarget>,
     pub(super) request: ClientRequest,
     /// When the client stops waiting, less the time that an answer needs to arrive.
     pub(super) deadline: Micros,
@@ -115,13 +118,9 @@
 }
 
 impl PendingRequest {
-    pub(super) fn new(
-        now: Micros,
-        response_target: ResponseTarget,
-        request: ClientRequest,
-    ) -> Self {
+    pub(super) fn new(now: Micros, answer_target: AnswerTarget, request: ClientRequest) -> Self {
         PendingRequest {
-            response_target: Some(response_target),
+            answer_target: Some(answer_target),
             deadline: now + request.remaining_us,
             request,
             attempts_started: 0,
@@ -134,7 +133,7 @@
     /// Returns whether the final answer is given, or no answer is needed because the client
     /// disconnected.
     pub(super) fn is_settled(&self) -> bool {
-        self.response_target.is_none()
+        self.answer_target.is_none()
     }
 
     /// Returns whether the request is settled and has no attempt in flight, so that it can be
@@ -145,8 +144,8 @@
 
     /// Settles the request and returns where its answer goes. Returns `None` if the request was
     /// already settled.
-    pub(super) fn settle(&mut self, now: Micros, ending: RequestEnding) -> Option<ResponseTarget> {
-        let target = self.response_target.take()?;
+    pub(super) fn settle(&mut self, now: Micros, ending: RequestEnding) -> Option<AnswerTarget> {
+        let target = self.answer_target.take()?;
         self.trace.end(now, ending);
         Some(target)
     }
--- a/crates/proxy/src/request_table/settlement.rs
+++ b/crates/proxy/src/request_table/settlement.rs
@@ -31,7 +31,7 @@
             RequestEnding::from(&answer)
         );
         self.counters.count_answer(&answer);
-        self.commands.push(Command::Respond(target, answer));
+        self.commands.push(Command::SendAnswer(target, answer));
     }
 
     /// Frees the slot of a request that is settled and has no attempt in flight.
@@ -85,7 +85,7 @@
         if let Some(pending) = self.requests.get(request_key) {
             let at = pending
                 .deadline
-                .min(now + self.deadline_timing.sweep_interval_us);
+                .min(now + self.deadline_timing.check_interval_us);
             self.commands
                 .push(Command::SetTimer(at, RequestTimer::Deadline(request_key)));
         }
--- a/crates/proxy/src/sys/fault.rs
+++ b/crates/proxy/src/sys/fault.rs
@@ -81,7 +81,7 @@
 
 impl Fault {
     /// Returns a fault that affects the next `limit` calls of a kind.
-    pub fn next(limit: u32, call: SystemCall, effect: Effect) -> Self {
+    pub fn for_next_calls(limit: u32, call: SystemCall, effect: Effect) -> Self {
         Fault {
             call,
             effect,
@@ -120,7 +120,7 @@
     plan: FaultPlan,
     random_state: u64,
     /// Number of affected calls by kind of call.
-    injected: BTreeMap<SystemCall, u64>,
+    injected_counts: BTreeMap<SystemCall, u64>,
 }
 
 /// Injects the faults of a plan. Clones share the plan, so that one thread can change the plan of
@@ -143,7 +143,7 @@
             state: Arc::new(Mutex::new(InjectorState {
                 random_state: plan.seed | 1,
                 plan,
-                injected: BTreeMap::new(),
+                injected_counts: BTreeMap::new(),
             })),
         }
     }
@@ -164,8 +164,8 @@
     }
 
     /// Returns the number of calls that were affected so far, by kind of call.
-    pub fn injected(&self) -> BTreeMap<SystemCall, u64> {
-        self.state().injected.clone()
+    pub fn injected_counts(&self) -> BTreeMap<SystemCall, u64> {
+        self.state().injected_counts.clone()
     }
 
     fn state(&self) -> MutexGuard<'_, InjectorState> {
@@ -182,7 +182,7 @@
         let InjectorState {
             plan,
             random_state,
-            injected,
+            injected_counts,
         } = &mut *state;
         let fault = plan.faults.iter_mut().find(|fault| {
             fault.call == call
@@ -197,9 +197,9 @@
         let effect = fault.effect;
         fault.limit -= 1;
         if let Effect::ShortThenAbort(_) = effect {
-            *fault = Fault::next(1, call, Effect::Abort);
+            *fault = Fault::for_next_calls(1, call, Effect::Abort);
         }
-        *injected.entry(call).or_default() += 1;
+        *injected_counts.entry(call).or_default() += 1;
         Some(effect)
     }
 }
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -19,7 +19,7 @@
 
     // The fields of an answer.
     pub(super) const TAG: &str = "etag";
-    pub(super) const MADE_MS: &str = "made";
+    pub(super) const CREATED_MS: &str = "made";
     pub(super) const FILL_RESULT: &str = "how";
     pub(super) const FILL_TTFB_MS: &str = "ttfb";
     pub(super) const LOAD: &str = "stats";
@@ -75,12 +75,13 @@
         String::from_utf8(std::mem::take(&mut self.id)).ok()
     }
 
-    /// Returns the latest time at which the origin can have sent out the copy, in Unix
-    /// microseconds. This is the end of the millisecond in the answer, so that no copy is
-    /// considered older than it is. Returns `None` if the answer does not name the millisecond.
-    pub(super) fn copy_made_by_us(&self) -> Option<u64> {
-        let made_ms: u64 = self.field(wire::MADE_MS)?.parse().ok()?;
-        Some(made_ms.saturating_add(1).saturating_mul(1_000))
+    /// Returns the latest time at which the copy can have been created, which is when the origin
+    /// sent it out, in Unix microseconds. This is the end of the millisecond in the answer, so that
+    /// no copy is considered older than it is. Returns `None` if the answer does not name the
+    /// millisecond.
+    pub(super) fn copy_created_by_us(&self) -> Option<u64> {
+        let created_ms: u64 = self.field(wire::CREATED_MS)?.parse().ok()?;
+        Some(created_ms.saturating_add(1).saturating_mul(1_000))
     }
 
     /// Returns the server's load report, if the answer carries one.
@@ -110,9 +111,9 @@
         let fill_ttfb_us = self.fill_ttfb_us();
         let load = self.load_report();
         // The beginning of the millisecond in the answer, which is certainly in the past.
-        let copy_made_at_us = self
-            .copy_made_by_us()
-            .map(|made_by_us| made_by_us.saturating_sub(1_000));
+        let copy_created_at_us = self
+            .copy_created_by_us()
+            .map(|created_by_us| created_by_us.saturating_sub(1_000));
         let failure_outcome = self.failure_outcome();
         let content = self.into_content(request);
         AttemptResult {
@@ -125,7 +126,7 @@
             fill_ttfb_us,
             load,
             content,
-            copy_made_at_us,
+            copy_created_at_us,
         }
     }
 
--- a/crates/proxy/src/upstream/command.rs
+++ b/crates/proxy/src/upstream/command.rs
@@ -25,12 +25,12 @@
     // The words of the field `flags`, in the order in which they are written.
     pub(super) const COALESCE: &str = "wait-for";
     pub(super) const ONLY_IF_CACHED: &str = "no-fetch";
-    pub(super) const BYPASS_PARENT: &str = "no-keep";
+    pub(super) const PARENT_NO_STORE: &str = "no-keep";
     pub(super) const BACKGROUND_REFRESH: &str = "background";
 }
 
-/// Initial capacity for the fields of a command. It is their usual length, so that one allocation is
-/// usually enough.
+/// Initial capacity for the fields of a command. It is their typical length, so that one allocation
+/// is usually enough.
 const INITIAL_FIELDS_CAPACITY_BYTES: usize = 128;
 /// Space reserved in a command for the encoding overhead of each string, so that one allocation is
 /// enough.
@@ -127,7 +127,7 @@
     let flags = [
         (fill.coalesce, wire::COALESCE),
         (fill.only_if_cached, wire::ONLY_IF_CACHED),
-        (fill.parent_no_store, wire::BYPASS_PARENT),
+        (fill.parent_no_store, wire::PARENT_NO_STORE),
         (fill.background_refresh, wire::BACKGROUND_REFRESH),
     ];
     let set = flags.into_iter().filter(|(is_set, _)| *is_set);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 /// A connection to a cache server, a parent or the origin.
 ///
 /// Invariant: all queued attempts and awaited streams have different ids. Callers preserve this by
-/// calling `enqueue` only where `load_if_available` returns a number for the id.
+/// calling `enqueue` only where `outstanding_count_if_available` returns a number for the id.
 pub struct UpstreamConnection {
     /// The server at the other end.
     pub server: ServerId,
@@ -41,21 +41,21 @@
         }
     }
 
-    /// Returns the number of attempts and probes on the connection. Returns `None` if the
-    /// connection can't take another attempt with this id.
-    pub fn load_if_available(
+    /// Returns the number of attempts and probes that are queued or in flight on the connection.
+    /// Returns `None` if the connection can't take another attempt with this id.
+    pub fn outstanding_count_if_available(
         &self,
         id: &str,
         request_table: &RequestTable,
         limits: &Limits,
     ) -> Option<usize> {
         let awaited = self.streams.values().filter(|stream| stream.is_awaited());
-        let load = awaited.count() + self.queue.len();
+        let outstanding_count = awaited.count() + self.queue.len();
         let is_available = !self.liveness.is_unresponsive()
             && !self.liveness.is_blocked_by_partial_answer(limits)
-            && load < limits.attempts_per_connection
+            && outstanding_count < limits.attempts_per_connection
             && self.is_id_available(id, request_table);
-        is_available.then_some(load)
+        is_available.then_some(outstanding_count)
     }
 
     /// Returns whether answers to a further attempt with this id could be distinguished from all
@@ -116,13 +116,13 @@
 
     /// Ends a connection that is being closed and reports all attempts and probes that were queued
     /// or open on it. The queue is reported first, and the streams follow in the order of their
-    /// ids. `connected` says whether the connection was ever established, and `bytes_written` is
+    /// ids. `is_connected` says whether the connection was ever established, and `bytes_written` is
     /// the number of bytes written on it.
     ///
     /// An attempt that was not written completely can't have run, while the others may have run.
     /// Only a connection that was never established shows that its server can't be reached.
-    pub fn close(self, connected: bool, bytes_written: u64, events: &mut Vec<UpstreamEvent>) {
-        let unsent_outcome = if connected {
+    pub fn close(self, is_connected: bool, bytes_written: u64, events: &mut Vec<UpstreamEvent>) {
+        let unsent_outcome = if is_connected {
             Outcome::NotSent
         } else {
             Outcome::ConnectFailed
--- a/crates/proxy/src/upstream/read.rs
+++ b/crates/proxy/src/upstream/read.rs
@@ -92,8 +92,8 @@
                 unreported: None, ..
             })
             | None => log::debug!(
-                "cache server #{:016x} answered request {id:?}, which is not open; \
-                 ignoring the answer",
+                "cache server #{:016x} answered request {id:?}, which is not in flight on the \
+                 connection; ignoring the answer",
                 self.server
             ),
         }
@@ -108,8 +108,8 @@
     ) {
         if sent.follows_cancellation {
             // The server may have sent the answer to the cancelled attempt before it read the
-            // `abort`. In that case the cancelled attempt is over and this one is still open. There
-            // is at most one such answer, so only one is ignored.
+            // `abort`. In that case the cancelled attempt is over and this one is still in flight.
+            // There is at most one such answer, so only one is ignored.
             log::info!(
                 "request {id}: ignoring a copy from cache server #{:016x} that is older than \
                  accepted; it may answer an attempt that was cancelled",
@@ -160,8 +160,8 @@
     sent: &SentAttempt,
     request_table: &RequestTable,
 ) -> bool {
-    answer.copy_made_by_us().is_some_and(|made_by_us| {
-        let made_at = request_table.copy_made_at(made_by_us);
-        sent.is_copy_too_old(made_at)
+    answer.copy_created_by_us().is_some_and(|created_by_us| {
+        let created_at = request_table.copy_created_at(created_by_us);
+        sent.is_copy_too_old(created_at)
     })
 }
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -164,11 +164,11 @@
 }
 
 impl SentAttempt {
-    /// Returns whether a copy made at `made_at`, on the scale of the loop's clock, is older than
-    /// the attempt accepts.
-    pub(super) fn is_copy_too_old(&self, made_at: Micros) -> bool {
+    /// Returns whether a copy created at `created_at`, on the scale of the loop's clock, is older
+    /// than the attempt accepts.
+    pub(super) fn is_copy_too_old(&self, created_at: Micros) -> bool {
         self.max_age_us
-            .is_some_and(|max_age_us| made_at.saturating_add(max_age_us) < self.sent_at)
+            .is_some_and(|max_age_us| created_at.saturating_add(max_age_us) < self.sent_at)
     }
 }
 
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -113,9 +113,9 @@
         true
     }
 
-    /// Reports cancellations whose `abort` was written at least `Limits::cancel_settle_delay_us` ago. The
-    /// `abort` needs that time to arrive: a further attempt at a nearer server must not overtake
-    /// it.
+    /// Reports cancellations whose `abort` was written at least `Limits::cancel_settle_delay_us`
+    /// ago. The `abort` needs that time to arrive: a further attempt at a nearer server must not
+    /// overtake it.
     fn report_due_cancellations(
         &mut self,
         context: &WriteContext,
--- a/crates/proxy/tests/cancellation.rs
+++ b/crates/proxy/tests/cancellation.rs
@@ -10,7 +10,7 @@
 use edge_testkit::TEST_TIMEOUT;
 use std::time::Instant;
 
-/// A server that never answers must not leave its client without a response. A request that the
+/// A server that never answers must not leave its client without an answer. A request that the
 /// client aborts must be aborted at the server too, or it goes on using resources.
 #[test]
 fn unresponsive_server_yields_503_and_an_aborted_request_is_cancelled_at_the_server() {
@@ -83,15 +83,15 @@
     }
 }
 
-/// Without cancellation, an abandoned request waits for the response of its server. If that never
+/// Without cancellation, an abandoned request waits for the answer of its server. If that never
 /// arrives, the request must not keep its slot in the request table for ever.
 #[test]
-fn abandoned_request_is_freed_at_its_deadline_although_no_response_arrives() {
+fn abandoned_request_is_freed_at_its_deadline_although_no_answer_arrives() {
     let server = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder()
         .scripted_server(&server)
         .config(|config| config["settings"]["limits"]["cancel"] = false.into())
-        .limits(|limits| limits.open_requests = 1)
+        .limits(|limits| limits.pending_requests = 1)
         .start();
     let mut client = proxy.connect();
     client
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -158,7 +158,7 @@
 
     client.send(&request).unwrap();
     let mut connection = server.accept().unwrap();
-    connection.serve_next().unwrap();
+    connection.answer_next_fetch().unwrap();
 
     assert_eq!(next_response(&mut client).1.status, 200);
     assert!(
--- a/crates/proxy/tests/consul_discovery.rs
+++ b/crates/proxy/tests/consul_discovery.rs
@@ -12,7 +12,7 @@
 /// A cache server whose check is critical, or that is no longer registered in Consul, must get no
 /// more commands, and one that recovers must get some again.
 #[test]
-fn server_list_follows_the_health_checks_of_consul() {
+fn endpoint_list_follows_the_health_checks_of_consul() {
     let consul = FakeConsul::start().unwrap();
     let proxy = ProxyFixture::builder()
         .caches(&["s-0a", "s-0b"])
--- a/crates/proxy/tests/event_bus_subscription.rs
+++ b/crates/proxy/tests/event_bus_subscription.rs
@@ -1,7 +1,7 @@
 //! The subscription to the event bus, and the endpoint lists that arrive on it.
 
 use edge_testkit::fake_cache::FakeCacheServer;
-use edge_testkit::fake_event_bus::{cache_entry, origin_entry, server_state};
+use edge_testkit::fake_event_bus::{cache_entry, endpoint_state, origin_entry};
 use edge_testkit::proxy_fixture::{
     fetch_object, health_status, next_response, ProxyFixture, LONG_BUDGET_MS,
 };
@@ -37,22 +37,22 @@
 /// The endpoint list of a large fleet arrives in many reads. If the proxy reconnected while the
 /// event is still arriving, it would never get the whole list.
 #[test]
-fn server_list_of_a_large_fleet_is_read_by_one_subscription() {
+fn endpoint_list_of_a_large_fleet_is_read_by_one_subscription() {
     const SERVER_COUNT: usize = 2000;
     let proxy = ProxyFixture::builder()
         .caches(&[])
         .config(|config| config["known"] = Value::Null)
         .start();
-    let origin = origin_entry(&proxy.origin, server_state::READY);
-    let mut server_list = vec![origin.clone()];
+    let origin = origin_entry(&proxy.origin, endpoint_state::READY);
+    let mut endpoint_list = vec![origin.clone()];
     for number in 0..SERVER_COUNT {
         let mut server = origin.clone();
         server["uid"] = format!("s-{number:08x}").into();
         server["az"] = "far".into();
-        server_list.push(server);
+        endpoint_list.push(server);
     }
 
-    proxy.event_bus.publish_endpoint_list(server_list);
+    proxy.event_bus.publish_endpoint_list(endpoint_list);
 
     let mut client = proxy.connect();
     while health_status(&mut client) != 200 {
@@ -108,7 +108,7 @@
 
     proxy.event_bus.publish_endpoint_changes(vec![
         unreadable_entry,
-        cache_entry(draining, server_state::DRAINING),
+        cache_entry(draining, endpoint_state::DRAINING),
     ]);
     proxy
         .event_bus
@@ -138,30 +138,30 @@
     proxy.shut_down();
 }
 
-/// If the event bus needs longer to answer than the silence timeout, giving up each connection at
-/// that timeout would mean that no answer is ever read.
+/// If the event bus needs longer to respond than the idle timeout, closing each connection at that
+/// timeout would mean that no response is ever read.
 #[test]
-fn a_late_answer_of_the_event_bus_is_read_from_the_earlier_connection() {
-    const SILENCE_US: u64 = 50_000;
+fn a_late_response_of_the_event_bus_is_read_from_the_earlier_connection() {
+    const IDLE_TIMEOUT_US: u64 = 50_000;
     let event_bus = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder()
         .config(|config| {
             config["known"] = Value::Null;
             config["bus"] = event_bus.address.to_string().into();
         })
-        .limits(|limits| limits.event_bus_idle_timeout_us = SILENCE_US)
+        .limits(|limits| limits.event_bus_idle_timeout_us = IDLE_TIMEOUT_US)
         .start();
 
-    // The event bus does not answer in time, and the proxy connects again. Then the answer arrives
-    // on the first connection.
+    // The event bus does not respond in time, and the proxy connects again. Then the response
+    // arrives on the first connection.
     let mut slow_connection = event_bus.accept().unwrap();
     let _second_connection = event_bus.accept().unwrap();
     let list = serde_json::json!({"offset": 1, "topology": {"rev": 1, "all": true, "targets": [
-        cache_entry(&proxy.caches[0], server_state::READY),
-        origin_entry(&proxy.origin, server_state::READY),
+        cache_entry(&proxy.caches[0], endpoint_state::READY),
+        origin_entry(&proxy.origin, endpoint_state::READY),
     ]}});
-    let answer = format!("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: {list}\n\n");
-    slow_connection.send(answer.as_bytes()).unwrap();
+    let response = format!("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: {list}\n\n");
+    slow_connection.send(response.as_bytes()).unwrap();
 
     let mut client = proxy.connect();
     let mut status = health_status(&mut client);
@@ -174,7 +174,7 @@
     }
     assert_eq!(
         status, 200,
-        "the answer on the first connection was discarded"
+        "the response on the first connection was discarded"
     );
     proxy.shut_down();
 }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown on SIGTERM: open requests are answered, and after the grace period no further
-//! ones are admitted.
+//! Graceful shutdown on SIGTERM: pending requests are answered, and after the grace period no
+//! further ones are admitted.
 
 use edge_proxy::config::Config;
 use edge_testkit::fake_cache::Behavior;
@@ -14,7 +14,7 @@
 
 /// SIGTERM must not cut off a request that a cache server is still working on.
 #[test]
-fn open_request_is_answered_after_sigterm() {
+fn pending_request_is_answered_after_sigterm() {
     const RESPONSE_DELAY_MS: u64 = 150;
     let mut proxy = ProxyFixture::start();
     proxy.caches[0].set_behavior(Behavior::delayed(RESPONSE_DELAY_MS));
@@ -33,7 +33,7 @@
 /// A request admitted after the grace period could still be open when the process is killed.
 /// Earlier requests must be answered before their connections are closed.
 #[test]
-fn after_the_grace_period_open_requests_are_answered_and_new_ones_refused() {
+fn after_the_grace_period_pending_requests_are_answered_and_new_ones_refused() {
     let server = ScriptedServer::start().unwrap();
     let mut proxy = ProxyFixture::builder()
         .scripted_server(&server)
@@ -118,10 +118,10 @@
     proxy.wait_for_exit();
 }
 
-/// SIGKILL may follow the shutdown deadline. Requests that are open by then must be answered as
-/// failed, even where attempts must not be cancelled.
+/// SIGKILL may follow the shutdown deadline. Requests that are unsettled by then must be answered
+/// as failed, even where attempts must not be cancelled.
 #[test]
-fn open_request_is_answered_at_the_shutdown_deadline() {
+fn pending_request_is_answered_at_the_shutdown_deadline() {
     for cancel_allowed in [true, false] {
         let server = ScriptedServer::start().unwrap();
         // The shutdown deadline coincides with SIGTERM.
@@ -154,7 +154,7 @@
 }
 
 /// SIGKILL follows SIGTERM after the longest request deadline plus a fixed time, up to a maximum. A
-/// later shutdown deadline would leave open requests without an answer.
+/// later shutdown deadline would leave pending requests without an answer.
 #[test]
 fn shutdown_deadline_precedes_the_earliest_kill() {
     for (request_deadline_us, shutdown_deadline_us) in [
--- a/crates/proxy/tests/late_reading.rs
+++ b/crates/proxy/tests/late_reading.rs
@@ -35,14 +35,14 @@
 
 /// Makes a system call fail until its faults are cleared.
 fn make_call_fail(injector: &FaultInjector, call: SystemCall, errno: i32) {
-    injector.add(Fault::next(u32::MAX, call, Effect::Error(errno)));
+    injector.add(Fault::for_next_calls(u32::MAX, call, Effect::Error(errno)));
 }
 
 /// Waits until the fault has affected what was sent before. A ready socket is read in every turn of
 /// the event loop, together with other sockets, so `Read` has to fail in several turns.
 fn wait_until_call_has_failed(injector: &FaultInjector, call: SystemCall) {
     const MIN_TURNS: u64 = 20;
-    let failure_count = || injector.injected().get(&call).copied().unwrap_or(0);
+    let failure_count = || injector.injected_counts().get(&call).copied().unwrap_or(0);
     let count_before = failure_count();
     let expected_count = match call {
         SystemCall::Read => count_before + MIN_TURNS,
@@ -54,7 +54,7 @@
 }
 
 /// When a request is read late, its cancellation may already be waiting behind it. Admitting the
-/// request before that is read would burden a server for nobody.
+/// request before that is read would load a server although no client waits for the answer.
 #[test]
 fn a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
     for (call, errno) in READ_DELAYING_FAULTS {
@@ -92,7 +92,7 @@
 }
 
 /// A client's budget runs from when it sends its request. Counted from when the proxy reads it, the
-/// request would be forwarded after the client has given up.
+/// request would be forwarded after the client has stopped waiting.
 #[test]
 fn the_time_for_which_a_request_waits_unread_counts_against_its_budget() {
     const BUDGET_MS: u64 = 200;
@@ -146,7 +146,7 @@
 
         // The requests arrive at the moment at which the grace period ends.
         let paused = proxy.pause();
-        injector.add(Fault::next(4, call, Effect::Error(errno)));
+        injector.add(Fault::for_next_calls(4, call, Effect::Error(errno)));
         let mut new_client = proxy.connect();
         for client in [&mut idle_client, &mut new_client] {
             client
@@ -230,7 +230,11 @@
 
     // A peer CDN connects at the moment at which the grace period ends, and cannot be accepted.
     let paused = proxy.pause();
-    injector.add(Fault::next(2, SystemCall::Accept, Effect::Error(ENFILE)));
+    injector.add(Fault::for_next_calls(
+        2,
+        SystemCall::Accept,
+        Effect::Error(ENFILE),
+    ));
     let peer_cdn = TcpStream::connect(proxy.interconnect_address).unwrap();
     proxy.control.stop().unwrap();
     paused.resume();
@@ -238,7 +242,10 @@
     // This counts the calls without changing their effect.
     count_waits(&injector);
     thread::sleep(OBSERVATION_TIME);
-    let waits = injector.injected().get(&SystemCall::EpollWait).copied();
+    let waits = injector
+        .injected_counts()
+        .get(&SystemCall::EpollWait)
+        .copied();
 
     assert!(
         waits.unwrap_or(0) < MAX_WAITS,
@@ -252,7 +259,7 @@
 
 /// Makes the injector count the waits of the event loop.
 fn count_waits(injector: &FaultInjector) {
-    injector.add(Fault::next(
+    injector.add(Fault::for_next_calls(
         u32::MAX,
         SystemCall::EpollWait,
         Effect::Short(1),
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -21,12 +21,12 @@
         assert!(limits.total_body_bytes + limits.unsent_answer_bytes <= memory_mb << 19);
         let max_unanswered = limits.requests_per_client;
         assert!(
-            limits.allows_open_requests(max_unanswered, false)
-                && !limits.allows_open_requests(max_unanswered + 1, false)
+            limits.allows_unanswered_requests(max_unanswered, false)
+                && !limits.allows_unanswered_requests(max_unanswered + 1, false)
         );
         assert!(
-            limits.allows_open_requests(1, true)
-                && !limits.allows_open_requests(max_unanswered, true)
+            limits.allows_unanswered_requests(1, true)
+                && !limits.allows_unanswered_requests(max_unanswered, true)
         );
     }
 }
--- a/crates/proxy/tests/purge_log.rs
+++ b/crates/proxy/tests/purge_log.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// A crash may truncate the last line, which must not spoil the others or lines added later.
+/// A crash may truncate the last line. The other lines and lines added later must stay readable.
 /// Repeated purges of the same targets must not make the file grow without bound.
 #[test]
 fn added_purges_are_read_back_after_a_crash_and_the_file_stays_short() {
--- a/crates/proxy/tests/purge_log_faults.rs
+++ b/crates/proxy/tests/purge_log_faults.rs
@@ -47,7 +47,7 @@
         let injector = install_faults();
         let mut purge_log = PurgeLog::open(&path).unwrap();
         purge_log.add(&purge(1)).unwrap();
-        injector.add(Fault::next(1, call, effect));
+        injector.add(Fault::for_next_calls(1, call, effect));
 
         assert!(
             purge_log.add(&purge(2)).is_err(),
@@ -72,8 +72,16 @@
     let path = fresh_path("purge-log-torn");
     let injector = install_faults();
     let mut purge_log = PurgeLog::open(&path).unwrap();
-    injector.add(Fault::next(1, SystemCall::FileWrite, Effect::Short(9)));
-    injector.add(Fault::next(1, SystemCall::FileWrite, Effect::Error(ENOSPC)));
+    injector.add(Fault::for_next_calls(
+        1,
+        SystemCall::FileWrite,
+        Effect::Short(9),
+    ));
+    injector.add(Fault::for_next_calls(
+        1,
+        SystemCall::FileWrite,
+        Effect::Error(ENOSPC),
+    ));
 
     assert!(purge_log.add(&purge(1)).is_err());
     assert_eq!(
@@ -104,7 +112,7 @@
         let injector = install_faults();
         PurgeLog::open(&path).unwrap().add(&purge(1)).unwrap();
         let before = fs::read(&path).unwrap();
-        injector.add(Fault::next(3, call, Effect::Error(ENOSPC)));
+        injector.add(Fault::for_next_calls(3, call, Effect::Error(ENOSPC)));
 
         let mut purge_log = PurgeLog::open(&path).unwrap();
         assert_eq!(purge_log.purges(), [purge(1)], "{call:?}");
--- a/crates/proxy/tests/reference_time.rs
+++ b/crates/proxy/tests/reference_time.rs
@@ -100,15 +100,15 @@
         for (step_us, age_us, is_event) in steps {
             elapsed_us += step_us;
             let (now_us, fleet_us) = (clock_us + elapsed_us, FLEET_START_US + elapsed_us);
-            let stamp_us = fleet_us - age_us;
+            let timestamp_us = fleet_us - age_us;
             if is_event {
-                time.observe_event(now_us, stamp_us);
+                time.observe_event(now_us, timestamp_us);
             } else {
-                time.observe_copy(now_us, stamp_us);
+                time.observe_copy(now_us, timestamp_us);
             }
             // Until a timestamp is accepted, the fleet's time is unknown.
-            if time.to_local(stamp_us) != stamp_us || clock_us <= FLEET_START_US {
-                prop_assert!(now_us.saturating_sub(time.to_local(stamp_us)) <= age_us + 10_000);
+            if time.to_local(timestamp_us) != timestamp_us || clock_us <= FLEET_START_US {
+                prop_assert!(now_us.saturating_sub(time.to_local(timestamp_us)) <= age_us + 10_000);
             }
         }
     }
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -6,13 +6,13 @@
 use edge_testkit::sample_deployment::{object_key, READ_CLASS};
 use serde_json::{json, Value};
 
-/// Long enough to reload the configuration while a request is open.
+/// Long enough to reload the configuration while a request is pending.
 const RESPONSE_DELAY_MS: u64 = 300;
 
 /// A reload must not close client connections or lose events between the old and the new event bus.
 /// An invalid file must change nothing.
 #[test]
-fn reload_moves_the_subscription_and_keeps_open_requests_and_connections() {
+fn reload_moves_the_subscription_and_keeps_pending_requests_and_connections() {
     let mut proxy = ProxyFixture::start();
     proxy.event_bus.publish_tag_purge(1, 1);
     assert_eq!(proxy.event_bus.wait_for_subscription(0), Some(0));
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -3,8 +3,8 @@
 use edge_proxy::limits::Limits;
 use edge_proxy::net::SlabKey;
 use edge_proxy::request_table::{
-    server_id, AdmissionError, Answer, AttemptId, AttemptResult, ClientRequest, Command, Content,
-    ListedServer, RequestCounters, RequestKey, RequestTable, RequestTimer, ResponseTarget,
+    server_id, AdmissionError, Answer, AnswerTarget, AttemptId, AttemptResult, ClientRequest,
+    Command, Content, ListedServer, RequestCounters, RequestKey, RequestTable, RequestTimer,
 };
 use edge_routing::{Endpoint, EndpointListMode, EndpointState, Outcome};
 use edge_testkit::sample_settings;
@@ -61,8 +61,8 @@
     Limits::for_machine(1024, 192)
 }
 
-fn response_target(stream: u32) -> ResponseTarget {
-    ResponseTarget {
+fn answer_target(stream: u32) -> AnswerTarget {
+    AnswerTarget {
         connection: SlabKey::from_u64(1),
         stream,
     }
@@ -93,7 +93,7 @@
     stream: u32,
     request: ClientRequest,
 ) -> Result<RequestKey, AdmissionError> {
-    request_table.admit(NOW_US, response_target(stream), request)
+    request_table.admit(NOW_US, answer_target(stream), request)
 }
 
 /// Admits a request and returns its key and its first attempt.
@@ -152,7 +152,7 @@
 /// Returns the final answers among the commands.
 fn answers(commands: &[Command]) -> Vec<Answer> {
     let answers = commands.iter().filter_map(|command| match command {
-        Command::Respond(_, answer) => Some(answer.clone()),
+        Command::SendAnswer(_, answer) => Some(answer.clone()),
         _ => None,
     });
     answers.collect()
@@ -321,7 +321,7 @@
     assert!(request_table.attempt_spec(attempt).is_some());
 }
 
-/// The bodies of all open requests are held in memory. Without a limit on their sum, many large
+/// The bodies of all pending requests are held in memory. Without a limit on their sum, many large
 /// requests would exhaust it. The room must be freed when a request ends.
 #[test]
 fn bodies_beyond_the_limit_are_not_admitted_until_there_is_room() {
@@ -346,7 +346,7 @@
 #[test]
 fn a_full_table_admits_no_request_until_there_is_room() {
     let mut request_table = new_table(&Limits {
-        open_requests: 2,
+        pending_requests: 2,
         ..limits()
     });
     let first = admit(&mut request_table, 1, read_request()).unwrap();
@@ -452,7 +452,7 @@
 /// A request that is rejected at once must not leave a timer until its distant deadline. In a flood
 /// of such requests these timers would fill the memory.
 #[test]
-fn a_request_rejected_at_once_leaves_no_timer_beyond_the_sweep_interval() {
+fn a_request_rejected_at_once_leaves_no_timer_beyond_the_deadline_check_interval() {
     let mut request_table = new_table(&limits());
     let unknown_class = ClientRequest {
         class: "no-such-class".into(),
@@ -476,7 +476,7 @@
 /// The deadline timer fires at short intervals so that ended requests leave the memory early. A
 /// pending request must be kept and answered only at its deadline.
 #[test]
-fn a_pending_request_is_swept_until_its_deadline() {
+fn a_pending_request_is_checked_until_its_deadline() {
     let mut request_table = new_table(&limits());
     let two_minutes = ClientRequest {
         remaining_us: 120_000_000,
@@ -484,14 +484,14 @@
     };
     let request_key = admit(&mut request_table, 1, two_minutes).unwrap();
     let mut now = NOW_US;
-    let mut sweeps = 0;
+    let mut check_count = 0;
     while answers(&request_table.take_commands()).is_empty() {
         now += limits().deadline_check_interval_us;
         request_table.timer_fired(now, RequestTimer::Deadline(request_key));
-        sweeps += 1;
+        check_count += 1;
     }
     assert_eq!(
-        sweeps, 120,
+        check_count, 120,
         "the request was not answered at its deadline of 120 s"
     );
 }
@@ -563,7 +563,7 @@
     let (request_key, _) = admit_and_start(&mut request_table);
     request_table.client_disconnected(NOW_US, request_key);
     admit_and_start(&mut request_table);
-    request_table.fail_all_pending(NOW_US);
+    request_table.fail_all_unsettled(NOW_US);
     let unknown_class = ClientRequest {
         class: "no-such-class".into(),
         ..read_request()
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -192,7 +192,7 @@
 }
 
 /// Another client may make the sum of partial requests exceed the limit. The client that holds most
-/// must not lose the answer to its open request over that.
+/// must not lose the answer to its pending request over that.
 #[test]
 fn a_client_whose_partial_requests_are_rejected_still_gets_its_open_answers() {
     const PARTIAL_REQUESTS_BYTES: usize = 100_000;
@@ -236,7 +236,7 @@
     assert_eq!(
         statuses,
         [(1, None), (2, None), (3, Some(200))],
-        "expected the partial requests to be refused and the open one to be answered"
+        "expected the partial requests to be refused and the pending one to be answered"
     );
     drop((large_client, small_client));
     proxy.shut_down();
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -1,6 +1,6 @@
 //! Serving of FastCGI requests: reads, writes, health checks and unreachable servers.
 
-use edge_testkit::fake_event_bus::{origin_entry, server_state};
+use edge_testkit::fake_event_bus::{endpoint_state, origin_entry};
 use edge_testkit::fastcgi_client::{
     FastCgiClient, END_OF_INPUT_BYTES, IDEMPOTENCY_KEY, WRITE_BODY,
 };
@@ -113,7 +113,7 @@
 
     assert_eq!(health_status(&mut client), 503);
 
-    let origin = origin_entry(&proxy.origin, server_state::READY);
+    let origin = origin_entry(&proxy.origin, endpoint_state::READY);
     proxy.event_bus.publish_endpoint_list(vec![origin]);
     // Wait until the event has arrived. Only the time limit of the test runner bounds the wait.
     while health_status(&mut client) != 200 {}
--- a/crates/proxy/tests/support/upstream.rs
+++ b/crates/proxy/tests/support/upstream.rs
@@ -4,7 +4,7 @@
 use edge_proxy::net::{BufferedSocket, IoProgress, SlabKey};
 use edge_proxy::protocol::resp;
 use edge_proxy::request_table::{
-    server_id, AttemptId, ClientRequest, Command, ListedServer, RequestTable, ResponseTarget,
+    server_id, AnswerTarget, AttemptId, ClientRequest, Command, ListedServer, RequestTable,
 };
 use edge_proxy::upstream::{UpstreamConnection, UpstreamEvent};
 use edge_routing::{Endpoint, EndpointListMode, EndpointState, Micros, Outcome, ServerId};
@@ -67,7 +67,7 @@
     }
 
     /// Creates a connection to a server of the given kind in the given zone.
-    pub fn new(zone: &str, kind: &str, connected: bool) -> Self {
+    pub fn new(zone: &str, kind: &str, is_connected: bool) -> Self {
         let limits = Limits::for_machine(1024, 192);
         let settings = edge_settings::from_json(&sample_settings()).unwrap();
         let mut request_table = RequestTable::new(settings, 1, &limits).unwrap();
@@ -77,7 +77,7 @@
         let (client_socket, server_socket) = socket_pair();
         let socket = BufferedSocket::new(
             client_socket,
-            connected,
+            is_connected,
             limits.input_buffer_bytes,
             limits.output_buffer_bytes,
         );
@@ -112,7 +112,7 @@
         let id = request.id.clone();
         self.end_requests_with(&id);
         self.request_table.take_commands();
-        let target = ResponseTarget {
+        let target = AnswerTarget {
             connection: SlabKey::from_u64(0),
             stream: 0,
         };
@@ -152,10 +152,11 @@
         attempt
     }
 
-    /// Returns the load of the connection, or `None` if it cannot take an attempt with this id.
-    pub fn load_if_available(&self, id: &str) -> Option<usize> {
+    /// Returns the number of attempts and probes on the connection, or `None` if it cannot take an
+    /// attempt with this id.
+    pub fn outstanding_count_if_available(&self, id: &str) -> Option<usize> {
         self.connection
-            .load_if_available(id, &self.request_table, &self.limits)
+            .outstanding_count_if_available(id, &self.request_table, &self.limits)
     }
 
     /// Writes what the connection can write. Returns false if the connection must be closed.
@@ -194,9 +195,9 @@
     }
 
     /// Closes the connection and returns the ends of attempts that were not taken before.
-    pub fn close(mut self, connected: bool) -> Vec<AttemptEnd> {
+    pub fn close(mut self, is_connected: bool) -> Vec<AttemptEnd> {
         self.connection
-            .close(connected, self.socket.bytes_written, &mut self.events);
+            .close(is_connected, self.socket.bytes_written, &mut self.events);
         attempt_ends(self.events)
     }
 
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -23,7 +23,7 @@
 fn faults(faults: impl IntoIterator<Item = (u32, SystemCall, i32)>) -> FaultInjector {
     let injector = no_faults();
     for (limit, call, errno) in faults {
-        injector.add(Fault::next(limit, call, Effect::Error(errno)));
+        injector.add(Fault::for_next_calls(limit, call, Effect::Error(errno)));
     }
     injector
 }
@@ -52,7 +52,7 @@
         let mut client = proxy.connect();
         assert_eq!(health_status(&mut client), 200);
         // The servers of several requests in sequence cannot be reached.
-        injector.add(Fault::next(4, call, Effect::Error(errno)));
+        injector.add(Fault::for_next_calls(4, call, Effect::Error(errno)));
 
         for key in 1..=6 {
             let response = fetch_object(&mut client, READ_CLASS, &object_key(key));
@@ -63,7 +63,7 @@
         }
 
         assert!(
-            injector.injected()[&call] > 0,
+            injector.injected_counts()[&call] > 0,
             "no fault was injected into {call:?}"
         );
         proxy.shut_down();
@@ -104,7 +104,7 @@
             proxy.event_bus.wait_for_subscription(0);
             let mut client = proxy.connect();
             assert_eq!(health_status(&mut client), 200);
-            injector.add(Fault::next(5, call, Effect::Error(errno)));
+            injector.add(Fault::for_next_calls(5, call, Effect::Error(errno)));
 
             for key in 1..=2 {
                 let response = fetch_object(&mut client, READ_CLASS, &object_key(key));
@@ -112,7 +112,7 @@
             }
 
             assert_eq!(
-                injector.injected()[&call],
+                injector.injected_counts()[&call],
                 5,
                 "not all faults were injected into {call:?}"
             );
@@ -141,7 +141,7 @@
             .start();
         proxy.event_bus.wait_for_subscription(0);
         proxy.origin.set_behavior(Behavior::padded(BODY_BYTES));
-        injector.add(Fault::next(3, call, Effect::Error(ENOMEM)));
+        injector.add(Fault::for_next_calls(3, call, Effect::Error(ENOMEM)));
 
         let mut client = proxy.connect();
         for request_id in 1..=REQUESTS {
@@ -163,7 +163,7 @@
             "not all requests were served after {call:?} failed"
         );
         assert_eq!(
-            injector.injected()[&call],
+            injector.injected_counts()[&call],
             3,
             "not all faults were injected into {call:?}"
         );
@@ -181,10 +181,14 @@
     proxy.event_bus.wait_for_subscription(0);
     // Accepting pauses, for which the poller is called once to stop watching the listener. The
     // second call, which ends the pause, fails.
-    injector.add(Fault::next(1, SystemCall::Accept, Effect::Error(ENFILE)));
+    injector.add(Fault::for_next_calls(
+        1,
+        SystemCall::Accept,
+        Effect::Error(ENFILE),
+    ));
     injector.add(Fault {
         skip: 1,
-        ..Fault::next(1, SystemCall::EpollModify, Effect::Error(ENOMEM))
+        ..Fault::for_next_calls(1, SystemCall::EpollModify, Effect::Error(ENOMEM))
     });
 
     for key in 1..=2 {
@@ -192,7 +196,7 @@
         assert_eq!(response.status, 200, "client {key}");
     }
 
-    assert_eq!(injector.injected()[&SystemCall::EpollModify], 1);
+    assert_eq!(injector.injected_counts()[&SystemCall::EpollModify], 1);
     proxy.shut_down();
 }
 
@@ -252,7 +256,11 @@
     let mut client = proxy.connect();
     assert_eq!(health_status(&mut client), 200);
     // The connection to the cache server cannot be watched until its connect timeout has expired.
-    injector.add(Fault::next(4, SystemCall::EpollAdd, Effect::Error(ENOMEM)));
+    injector.add(Fault::for_next_calls(
+        4,
+        SystemCall::EpollAdd,
+        Effect::Error(ENOMEM),
+    ));
 
     let response = fetch_object(&mut client, READ_CLASS, &object_key(1));
 
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -123,7 +123,7 @@
             .next_cancellation_report_at(&fixture.limits),
         Some(report_at)
     );
-    assert_eq!(fixture.load_if_available("01"), None);
+    assert_eq!(fixture.outstanding_count_if_available("01"), None);
     fixture.now = report_at;
     fixture.flush();
     assert_eq!(
@@ -140,7 +140,7 @@
     let attempt = fixture.send("01");
     fixture.cancel_and_settle(attempt);
     assert!(fixture.connection.has_recent_cancellation("01"));
-    assert!(fixture.load_if_available("01").is_some());
+    assert!(fixture.outstanding_count_if_available("01").is_some());
     let forgotten_at = START_US + fixture.limits.stream_retention_us + 1;
     fixture
         .connection
@@ -226,17 +226,22 @@
 fn an_unresponsive_connection_takes_no_further_attempts() {
     let mut fixture = Fixture::connected();
     let attempt = fixture.send("01");
-    assert_eq!(fixture.load_if_available("02"), Some(1));
+    assert_eq!(fixture.outstanding_count_if_available("02"), Some(1));
     // Nothing has arrived from the server since before the attempt. A short silence is a pause. A
     // long one may mean that the server no longer reaches the proxy.
     let longest_pause_us = fixture.limits.unresponsive_after_us;
-    for (silence_us, load) in [(longest_pause_us, Some(0)), (longest_pause_us + 1, None)] {
+    for (silence_us, outstanding_count) in
+        [(longest_pause_us, Some(0)), (longest_pause_us + 1, None)]
+    {
         let begun_at = START_US - silence_us;
         fixture.connection = UpstreamConnection::new(fixture.server, &fixture.limits, begun_at);
         fixture.connection.enqueue(attempt);
         fixture.flush();
         fixture.cancel_and_settle(attempt);
-        assert_eq!(fixture.load_if_available("02"), load);
+        assert_eq!(
+            fixture.outstanding_count_if_available("02"),
+            outstanding_count
+        );
     }
 }
 
@@ -246,16 +251,16 @@
 fn requests_with_one_id_never_share_a_connection() {
     for mut fixture in [Fixture::connected(), Fixture::connecting()] {
         fixture.send("01");
-        let connected = fixture.socket.is_connected;
+        let is_connected = fixture.socket.is_connected;
         assert_eq!(
-            fixture.load_if_available("01"),
+            fixture.outstanding_count_if_available("01"),
             None,
-            "a second request with the same id was accepted, connected: {connected}"
+            "a second request with the same id was accepted, connected: {is_connected}"
         );
         assert_eq!(
-            fixture.load_if_available("02"),
+            fixture.outstanding_count_if_available("02"),
             Some(1),
-            "connected: {connected}"
+            "connected: {is_connected}"
         );
     }
 }
@@ -276,7 +281,7 @@
     fixture.now = deadline - 1;
     assert!(
         fixture.flush(),
-        "the connection was given up before the timeout of the partial answer"
+        "the connection was closed before the timeout of the partial answer"
     );
     fixture.now = deadline;
     assert!(
--- a/crates/proxy/tests/upstream_connections.rs
+++ b/crates/proxy/tests/upstream_connections.rs
@@ -2,7 +2,7 @@
 //! closes.
 
 use edge_testkit::fake_cache::Behavior;
-use edge_testkit::fake_event_bus::{cache_entry, server_state};
+use edge_testkit::fake_event_bus::{cache_entry, endpoint_state};
 use edge_testkit::fastcgi_client::FastCgiClient;
 use edge_testkit::proxy_fixture::{
     fetch_object, next_response, next_status, ProxyFixture, LONG_BUDGET_MS, LONG_TIMEOUT_US,
@@ -25,8 +25,8 @@
 
     let successor = proxy.caches[0].successor_at_same_address("s-0b");
     proxy.event_bus.publish_endpoint_changes(vec![
-        cache_entry(&proxy.caches[0], server_state::GONE),
-        cache_entry(&successor, server_state::READY),
+        cache_entry(&proxy.caches[0], endpoint_state::GONE),
+        cache_entry(&successor, endpoint_state::READY),
     ]);
 
     while proxy.caches[0].accepted_connections() < 2 {
@@ -56,7 +56,7 @@
     }
     removed.wait_for_fetch().unwrap();
 
-    let entry = cache_entry(removed, server_state::GONE);
+    let entry = cache_entry(removed, endpoint_state::GONE);
     proxy.event_bus.publish_endpoint_changes(vec![entry]);
 
     for _ in 1..=REQUESTS {
@@ -107,10 +107,10 @@
     proxy.shut_down();
 }
 
-/// A response and the reset of its connection may arrive together. The response must be read first,
-/// or a write that has succeeded would be sent again.
+/// An answer and the reset of its connection may arrive together. The answer must be read first, or
+/// a write that has succeeded would be sent again.
 #[test]
-fn response_counts_although_its_connection_is_reset_when_the_next_request_arrives() {
+fn answer_counts_although_its_connection_is_reset_when_the_next_request_arrives() {
     let server = ScriptedServer::start().unwrap();
     let mut proxy = ProxyFixture::builder().scripted_server(&server).start();
     let mut first_client = proxy.connect();
@@ -121,7 +121,7 @@
     let mut connection = server.accept().unwrap();
     let first_fetch = connection.next_command().unwrap();
 
-    // The proxy notices the second request, the response and the reset in the same turn.
+    // The proxy notices the second request, the answer and the reset in the same turn.
     let paused = proxy.pause();
     second_client
         .request_object(1, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
@@ -135,7 +135,7 @@
     assert_eq!(
         second_fetch.object_key(),
         Some(object_key(2).as_str()),
-        "the first request was sent again although its response had arrived"
+        "the first request was sent again although its answer had arrived"
     );
     assert_eq!(next_response(&mut first_client).1.status, 200);
     connection.answer_ok(&second_fetch.request_id).unwrap();
@@ -154,7 +154,7 @@
         .start();
     let mut client = proxy.connect();
     let serve_one = |client: &mut FastCgiClient, connection: &mut ScriptedConnection| {
-        connection.serve_next().unwrap();
+        connection.answer_next_fetch().unwrap();
         next_response(client).1.status
     };
     client
@@ -213,7 +213,7 @@
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
         .unwrap();
     let mut connection = server.accept().unwrap();
-    connection.serve_next().unwrap();
+    connection.answer_next_fetch().unwrap();
 
     assert_eq!(next_response(&mut client).1.status, 200);
     assert!(
@@ -226,7 +226,7 @@
 /// A server may answer a request twice. The second answer must not count as the answer to a retry,
 /// which has the same request id.
 #[test]
-fn duplicate_response_does_not_count_as_that_of_a_retry() {
+fn duplicate_answer_does_not_count_as_that_of_a_retry() {
     let server = ScriptedServer::start().unwrap();
     let proxy = ProxyFixture::builder().scripted_server(&server).start();
     let mut client = proxy.connect();
@@ -240,7 +240,7 @@
         .unwrap();
 
     // The attempt never ran, so there is a retry. On the same connection, a duplicate of the first
-    // response could not be distinguished from the response to the retry.
+    // answer could not be distinguished from the answer to the retry.
     let mut retry_connection = server.accept().unwrap();
     let retry = retry_connection.next_command().unwrap();
     assert_eq!(retry.name, "fetch");
@@ -249,7 +249,7 @@
         .answer(&fetch.request_id, "503", "-", "")
         .unwrap();
 
-    // The next response on this connection shows that the duplicate before it was read.
+    // The next answer on this connection shows that the duplicate before it was read.
     client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
         .unwrap();
@@ -265,12 +265,12 @@
     proxy.shut_down();
 }
 
-/// Responses on a connection arrive one after the other. One that never ends would block the
-/// responses to all later requests on its connection.
+/// Answers on a connection arrive one after the other. One that never ends would block the answers
+/// to all later requests on its connection.
 #[test]
-fn endless_response_fails_its_own_request_and_no_later_one() {
+fn endless_answer_fails_its_own_request_and_no_later_one() {
     let server = ScriptedServer::start().unwrap();
-    // The response never pauses for long enough to count as incomplete.
+    // The answer never pauses for long enough to count as incomplete.
     let proxy = ProxyFixture::builder()
         .scripted_server(&server)
         .limits(|limits| {
@@ -284,34 +284,32 @@
         .unwrap();
     let mut endless_connection = server.accept().unwrap();
     let fetch = endless_connection.next_command().unwrap();
-    let start_of_response = format!(
+    let start_of_answer = format!(
         "*4\r\n$16\r\n{}\r\n$3\r\n200\r\n$1\r\n-\r\n$9000\r\n...",
         fetch.request_id
     );
-    endless_connection
-        .send(start_of_response.as_bytes())
-        .unwrap();
+    endless_connection.send(start_of_answer.as_bytes()).unwrap();
     assert_eq!(
         next_response(&mut client).1.status,
         503,
         "its budget is spent"
     );
-    endless_connection.wait_until_closed().expect(
-        "the connection was not closed although its endless response has no waiting request",
-    );
+    endless_connection
+        .wait_until_closed()
+        .expect("the connection was not closed although its endless answer has no waiting request");
 
     client
         .request_object(2, WRITE_CLASS, &object_key(2), LONG_BUDGET_MS)
         .unwrap();
     let mut connection = server.accept().unwrap();
-    connection.serve_next().unwrap();
+    connection.answer_next_fetch().unwrap();
     assert_eq!(next_response(&mut client).1.status, 200);
 
-    // The proxy does not wait for the rest of a response to a request that was never sent either.
-    let response_to_nothing = b"*4\r\n$16\r\nffffffffffffffff\r\n$3\r\n200\r\n";
-    connection.send(response_to_nothing).unwrap();
-    connection.wait_until_closed().expect(
-        "the connection was not closed although its partial response blocks all later ones",
-    );
+    // The proxy does not wait for the rest of an answer to a request that was never sent either.
+    let answer_to_nothing = b"*4\r\n$16\r\nffffffffffffffff\r\n$3\r\n200\r\n";
+    connection.send(answer_to_nothing).unwrap();
+    connection
+        .wait_until_closed()
+        .expect("the connection was not closed although its partial answer blocks all later ones");
     proxy.shut_down();
 }
--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -32,7 +32,7 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Time limit of the attempt, or None to wait until the client gives up.
+        /// Time limit of the attempt, or None to wait until the client stops waiting.
         timeout_us: Option<Micros>,
         /// How a miss is filled, or None if the server may only use what it has cached.
         fill: Option<Fill>,
--- a/crates/routing/src/estimate/load.rs
+++ b/crates/routing/src/estimate/load.rs
@@ -12,8 +12,8 @@
 
 impl SharedLoadEstimate {
     /// Creates an estimate for a sender that has nothing in flight and shares the resource with
-    /// `other_sender_count` similar senders. Each sample has the weight `sample_weight`, from 0 to 1, in
-    /// the average over time.
+    /// `other_sender_count` similar senders. Each sample has the weight `sample_weight`, from 0 to
+    /// 1, in the average over time.
     pub(crate) fn new(other_sender_count: f64, sample_weight: f64) -> Self {
         SharedLoadEstimate {
             own: 0.0,
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -70,7 +70,7 @@
     pub purge_group: u64,
     /// Size of this part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time until the client gives up.
+    /// Time until the client stops waiting.
     pub remaining_us: Micros,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -181,8 +181,8 @@
     }
 
     /// Handles the disconnect of a client. Its attempt is cancelled, so that no link carries an
-    /// answer that nobody receives. Returns None if there is nothing to cancel or cancellation is
-    /// not allowed.
+    /// answer that no client receives. Returns None if there is nothing to cancel or cancellation
+    /// is not allowed.
     pub(super) fn handle_disconnect(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.get_mut(id)?;
         request.client_disconnected = true;
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -43,7 +43,7 @@
     pub latency_objective_us: Micros,
     /// The latency objective is extended by this multiple of the request's own transfer time.
     pub objective_per_transfer_time: f64,
-    /// Longest time until clients give up.
+    /// Longest time until clients stop waiting.
     pub deadline_us: Micros,
     /// Weight of one request relative to requests of other classes.
     pub priority_weight: f64,
@@ -194,7 +194,7 @@
     pub cancellation: bool,
     /// Whether servers may be probed.
     pub probing: bool,
-    /// Whether rejections tell clients when to retry (Retry-After).
+    /// Whether rejections state when clients may retry (Retry-After).
     pub retry_after: bool,
     /// Longest Retry-After that clients follow.
     pub max_retry_after_us: Micros,
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -107,8 +107,8 @@
     pub(crate) purge_group: u64,
     /// The time in seconds that the transfer takes if it does not share its link.
     pub(crate) unshared_transfer_s: f64,
-    /// `unshared_transfer_s` was computed from the size of the part. Otherwise it is the typical transfer
-    /// time of the class.
+    /// `unshared_transfer_s` was computed from the size of the part. Otherwise it is the typical
+    /// transfer time of the class.
     pub(crate) size_known: bool,
     /// The decayed request count of the object.
     pub(crate) object_request_count: f64,
@@ -116,7 +116,7 @@
     pub(crate) part_request_count: f64,
     /// The time until which an answer meets the latency objective.
     pub(crate) objective_deadline: Micros,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub(crate) client_deadline: Micros,
     /// The number of attempts that were sent.
     pub(crate) attempts_sent: u32,
@@ -190,7 +190,7 @@
     }
 
     /// Returns the time until the latency objective. Once that is past, returns the time until the
-    /// client gives up.
+    /// client stops waiting.
     pub(crate) fn time_left_us(&self, now: Micros) -> Micros {
         let in_time_until = self.objective_deadline.min(self.client_deadline);
         let useful_until = if now < self.objective_deadline {
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -286,7 +286,7 @@
     assert!(servers.record_connection_reset(1, 11));
 }
 
-/// Guards against late requests that are given up although their clients still wait.
+/// Guards against late requests that are abandoned although their clients still wait.
 #[test]
 fn the_time_left_ends_at_the_latency_objective_and_after_that_at_the_client_deadline() {
     let request = request(0);
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -5,7 +5,7 @@
 use edge_routing::*;
 use support::*;
 
-/// Guards against work for a client that has given up before an answer can arrive.
+/// Guards against work for a client that stops waiting before an answer can arrive.
 #[test]
 fn a_request_without_time_left_is_rejected_at_once() {
     let mut harness = Harness::with_defaults();
--- a/crates/routing/tests/cancellation.rs
+++ b/crates/routing/tests/cancellation.rs
@@ -69,8 +69,8 @@
     assert!(!cancellations_with_cache_servers_started(warm).is_empty());
 }
 
-/// Guards against attempts that wait at a server that hangs until their clients give up: a hanging
-/// server reports no failure.
+/// Guards against attempts that wait at a server that hangs until their clients stop waiting: a
+/// hanging server reports no failure.
 #[test]
 fn attempts_at_an_unresponsive_server_are_cancelled_and_retried_elsewhere() {
     let unresponsive = CACHE_SERVERS[1];
--- a/crates/routing/tests/origin_load_shedding.rs
+++ b/crates/routing/tests/origin_load_shedding.rs
@@ -42,7 +42,7 @@
 }
 
 /// Guards against a queue at the origin that outlasts its cause: the origin also processes requests
-/// that nobody waits for any more, so that all others are late as well.
+/// that no client waits for any more, so that all others are late as well.
 #[test]
 fn few_requests_may_reach_the_origin_while_it_is_late() {
     use FillResult::{Filled, FilledFromOrigin};
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -13,7 +13,7 @@
 /// The time at which every test begins. Every server has started long before, unless a test says
 /// otherwise.
 pub const START_TIME_US: Micros = 100 * SECOND_US;
-/// The time after which clients give up on a request, unless a test says otherwise.
+/// The time after which clients stop waiting for an answer, unless a test says otherwise.
 pub const CLIENT_TIMEOUT_US: Micros = 5 * SECOND_US;
 
 /// The tag of the router's recurring sweep timer.
@@ -338,7 +338,7 @@
     pub server: ServerId,
     /// How a miss is filled.
     pub fill: Fill,
-    /// The time-out of the attempt. `None` if it ends only when the client gives up.
+    /// The time-out of the attempt. `None` if it ends only when the client stops waiting.
     pub timeout_us: Option<Micros>,
 }
 
--- a/crates/sim-adapter/src/action_message.rs
+++ b/crates/sim-adapter/src/action_message.rs
@@ -13,7 +13,7 @@
 pub enum ActionMessage<'a> {
     /// Starts an attempt without a fill.
     Assign {
-        /// Time limit of the attempt, or None to wait until the client gives up.
+        /// Time limit of the attempt, or None to wait until the client stops waiting.
         #[serde(rename = "allow-for-us")]
         timeout_us: Option<u64>,
         event_type: &'static str,
@@ -26,7 +26,7 @@
     },
     /// Starts an attempt with a fill.
     ReadThrough {
-        /// Time limit of the attempt, or None to wait until the client gives up.
+        /// Time limit of the attempt, or None to wait until the client stops waiting.
         #[serde(rename = "allow-for-us")]
         timeout_us: Option<u64>,
         event_type: &'static str,
--- a/crates/sim-adapter/src/event_message.rs
+++ b/crates/sim-adapter/src/event_message.rs
@@ -88,7 +88,7 @@
     purge_group: Option<WholeNumber>,
     #[serde(rename = "length-kb")]
     size_kb: Option<f64>,
-    /// Time until the client gives up. A negative value means that the time has passed.
+    /// Time until the client stops waiting. A negative value means that the time has passed.
     #[serde(rename = "remaining-us")]
     remaining_us: f64,
     /// Bit flags, of which [`RETRY_FLAG`] is the only one that is read.
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -13,7 +13,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("failed to start the adapter");
-    // A write error is ignored because the adapter exits at an invalid line without reading the rest.
+    // A write error is ignored because the adapter exits at an invalid line without reading the
+    // rest.
     child
         .stdin
         .take()
--- a/crates/soak/src/bad_client.rs
+++ b/crates/soak/src/bad_client.rs
@@ -1,5 +1,5 @@
-//! Misbehaving clients. They send garbage, incomplete requests, floods or oversized parameters, and
-//! disconnect.
+//! Simulates misbehaving FastCGI clients, which send garbage, incomplete requests, floods of
+//! requests or oversized parameters, or reset their connections.
 
 use crate::deployment::class;
 use crate::world::object_key;
--- a/crates/soak/src/child.rs
+++ b/crates/soak/src/child.rs
@@ -1,5 +1,5 @@
-//! Runs this program as an edge proxy. It uses the same library as the deployed program, and a
-//! fault injector for its system calls.
+//! Entry point of the child processes: runs this program as an edge proxy, with the same library as
+//! the deployed program and with a fault injector for its system calls.
 
 use edge_proxy::program;
 use edge_proxy::sys::fault::{FaultInjector, FaultPlan};
@@ -18,8 +18,8 @@
     let injector = FaultInjector::new(plan.unwrap_or_default());
     injector.install();
     let code = program::run();
-    if let Ok(injected) = serde_json::to_string(&injector.injected()) {
-        eprintln!("{INJECTED_FAULTS_PREFIX}{injected}");
+    if let Ok(injected_counts) = serde_json::to_string(&injector.injected_counts()) {
+        eprintln!("{INJECTED_FAULTS_PREFIX}{injected_counts}");
     }
     code
 }
--- a/crates/soak/src/client/connection.rs
+++ b/crates/soak/src/client/connection.rs
@@ -21,19 +21,19 @@
 const PRECEDING_RECORD_BYTES: usize = 2_000;
 
 /// An answer to a request.
-pub(super) struct Response {
+pub(super) struct Answer {
     pub(super) status: u16,
     pub(super) body: Vec<u8>,
 }
 
 /// How a request ended for a client that waited for the answer.
 pub(super) enum RequestOutcome {
-    Answered(Response),
+    Answered(Answer),
     /// The connection ended before the answer.
     ConnectionClosed,
 }
 
-/// A connection with the requests that are open on it.
+/// A connection with the pending requests on it.
 pub(super) struct Connection {
     writer: Mutex<OwnedWriteHalf>,
     pub(super) pending_requests: RefCell<HashMap<u16, oneshot::Sender<RequestOutcome>>>,
@@ -179,25 +179,25 @@
         };
         self.answered_count.set(self.answered_count.get() + 1);
         self.last_used.set(Instant::now());
-        let response = if protocol_status == Some(fastcgi::OVERLOADED) {
-            Response {
+        let answer = if protocol_status == Some(fastcgi::OVERLOADED) {
+            Answer {
                 status: 503,
                 body: Vec::new(),
             }
         } else {
-            parse_response(bytes)
+            parse_answer(bytes)
         };
         // Errors are ignored: the client may have cancelled the request.
-        let _ = outcome_sender.send(RequestOutcome::Answered(response));
+        let _ = outcome_sender.send(RequestOutcome::Answered(answer));
     }
 }
 
-/// Parses the status and the body of a CGI response. The status is 0 if the response has no
-/// complete head, and 200 if the head names no status.
-fn parse_response(bytes: &[u8]) -> Response {
+/// Parses the status and the body of an answer, which is a CGI response. The status is 0 if the
+/// response has no complete head, and 200 if the head names no status.
+fn parse_answer(bytes: &[u8]) -> Answer {
     let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n");
     let Some(head_end) = head_end else {
-        return Response {
+        return Answer {
             status: 0,
             body: Vec::new(),
         };
@@ -210,7 +210,7 @@
             .parse()
             .ok()
     });
-    Response {
+    Answer {
         status: status.unwrap_or(200),
         body: bytes[head_end + 4..].to_vec(),
     }
--- a/crates/soak/src/client/mod.rs
+++ b/crates/soak/src/client/mod.rs
@@ -153,7 +153,7 @@
         let request = FastCgiClient::encode_request(1, "/_health", &[], b"");
         let answer = connection.send(1, &request).await?;
         match timeout(Duration::from_millis(500), answer).await {
-            Ok(Ok(RequestOutcome::Answered(response))) => Ok(response.status),
+            Ok(Ok(RequestOutcome::Answered(answer))) => Ok(answer.status),
             _ => Err(io::ErrorKind::TimedOut.into()),
         }
     }
@@ -333,19 +333,19 @@
             return;
         };
         match outcome {
-            Some(RequestOutcome::Answered(response)) => {
-                request.answer = Some((response.status, now_ms));
-                if response.status != 200 {
+            Some(RequestOutcome::Answered(answer)) => {
+                request.answer = Some((answer.status, now_ms));
+                if answer.status != 200 {
                     return;
                 }
-                match copy_creation_unix_ms(planned_request.object, &response.body) {
+                match copy_creation_unix_ms(planned_request.object, &answer.body) {
                     Some(created_unix_ms) => request.copy_created_unix_ms = Some(created_unix_ms),
                     None => {
                         let detail = format!(
                             "request {}: the body of the answer ({} bytes) is \
                              not a copy of the requested object",
                             planned_request.id,
-                            response.body.len()
+                            answer.body.len()
                         );
                         run_state.report(Rule::TrueAnswer, Some(self.proxy), detail);
                     }
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -1,5 +1,5 @@
-//! Runs a plan: starts the simulated cluster, applies each fault at its time, and shuts everything
-//! down.
+//! Executes the plan of a run: starts the proxies and the services that they connect to, applies
+//! each fault at its time, and shuts the proxies down.
 
 use crate::bad_client;
 use crate::cache_server::{Behavior, CacheServer};
@@ -520,7 +520,7 @@
         }
     }
 
-    /// Shuts down all processes as in a planned restart, with requests open.
+    /// Shuts down all processes as in a planned restart, with requests pending.
     async fn shut_down_proxies(&self) {
         let mut shutdowns = Vec::new();
         for proxy in self.proxies.iter().cloned() {
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -1,5 +1,5 @@
-//! The link in front of a server: a TCP proxy that forwards bytes, resets connections, holds bytes
-//! back, or forwards bytes in small fragments.
+//! Simulates the network link to a server with a TCP proxy in front of it, which forwards bytes,
+//! holds them back, forwards them in small fragments, or resets connections.
 
 use std::cell::RefCell;
 use std::io;
--- a/crates/soak/src/plan/mod.rs
+++ b/crates/soak/src/plan/mod.rs
@@ -19,8 +19,8 @@
     /// When the last request is sent, in milliseconds from the start of the run.
     pub duration_ms: u64,
     /// The longest deadline of any request class, in milliseconds. If it is longer than the time
-    /// that a restart waits for open requests, a process that was asked to shut down has to exit
-    /// while requests are still open.
+    /// that a restart waits for pending requests, a process that was asked to shut down has to exit
+    /// while requests are still pending.
     pub longest_deadline_ms: u64,
     /// Whether the settings allow the proxies to cancel attempts.
     pub cancellation: bool,
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,5 +1,6 @@
-//! The state of a run: what is true in it, and what its parts observed. All times are read from one
-//! clock.
+//! The shared state of a run: the servers, events and purges of the simulated cluster, and the
+//! record of the requests and attempts that clients and servers observed. All times are read from
+//! one clock.
 //!
 //! "Milliseconds of the run" are milliseconds since the start of the run.
 
@@ -141,7 +142,7 @@
     pub purges: u64,
     /// Purges that proxies accepted through their interconnect.
     pub interconnect_purges: u64,
-    /// Times at which the run itself was stalled for so long that timing was not judged.
+    /// Times at which the machine stalled the run for too long, so that timing was not judged.
     pub harness_stalls: u64,
 }
 
@@ -344,7 +345,7 @@
         json!({"offset": offset, "batch": batch})
     }
 
-    /// Records that a proxy's process ends now without a chance to answer open requests.
+    /// Records that a proxy's process ends now without a chance to answer pending requests.
     pub fn record_abrupt_exit(&mut self, proxy: usize) {
         let now_ms = self.now_ms();
         self.abrupt_exits.push((proxy, now_ms));
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -108,7 +108,7 @@
 }
 
 // A retry after the server has started to process the request can run a payment twice. A rejection
-// tells the client that the request did not run, so the client may repeat it.
+// states that the request did not run, so the client may repeat it.
 #[test]
 fn a_non_idempotent_request_may_not_run_twice_or_be_rejected_after_it_ran() {
     let mut run = RecordedRun::with_class(class::NON_IDEMPOTENT);
--- a/crates/testkit/src/fake_cache.rs
+++ b/crates/testkit/src/fake_cache.rs
@@ -11,14 +11,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a fake cache server responds to requests that it has not received yet.
+/// How a fake cache server answers requests that it has not received yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
-    /// Delay of each response in milliseconds.
-    pub response_delay_ms: u64,
-    /// Number of padding bytes in each response body, before the copy's key and creation time.
+    /// Delay of each answer in milliseconds.
+    pub answer_delay_ms: u64,
+    /// Number of padding bytes in each answer body, before the copy's key and creation time.
     pub padding_bytes: usize,
-    /// Whether the server receives requests but sends no response.
+    /// Whether the server receives requests but sends no answer.
     pub unresponsive: bool,
     /// Whether the server serves copies that are older than the request allows, and reports them as
     /// new.
@@ -26,15 +26,15 @@
 }
 
 impl Behavior {
-    /// Returns the behavior of responding after a delay.
-    pub fn delayed(response_delay_ms: u64) -> Self {
+    /// Returns the behavior of answering after a delay.
+    pub fn delayed(answer_delay_ms: u64) -> Self {
         Behavior {
-            response_delay_ms,
+            answer_delay_ms,
             ..Behavior::default()
         }
     }
 
-    /// Returns the behavior of responding with padded bodies.
+    /// Returns the behavior of answering with padded bodies.
     pub fn padded(padding_bytes: usize) -> Self {
         Behavior {
             padding_bytes,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the behavior of sending no response.
+    /// Returns the behavior of sending no answer.
     pub fn unresponsive() -> Self {
         Behavior {
             unresponsive: true,
@@ -119,7 +119,7 @@
         FakeCacheServer { id, ..self.clone() }
     }
 
-    /// Sets how the server responds to requests that it has not received yet.
+    /// Sets how the server answers requests that it has not received yet.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.state().behavior = behavior;
     }
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Records a command, and responds to a fetch according to the current behavior.
+    /// Records a command, and answers a fetch according to the current behavior.
     fn handle(&self, command: ReceivedCommand, socket: &TcpStream) {
         let mut state = self.state();
         state.received.push(command.clone());
@@ -203,20 +203,20 @@
         let Ok(mut socket) = socket.try_clone() else {
             return;
         };
-        let mut respond = move || {
-            thread::sleep(Duration::from_millis(behavior.response_delay_ms));
-            // A write error means that the proxy has closed the connection and needs no response.
-            let _ = socket.write_all(&encode_response(&command, copy, behavior));
+        let mut send_answer = move || {
+            thread::sleep(Duration::from_millis(behavior.answer_delay_ms));
+            // A write error means that the proxy has closed the connection and needs no answer.
+            let _ = socket.write_all(&encode_answer(&command, copy, behavior));
         };
-        if behavior.response_delay_ms > 0 {
-            thread::spawn(respond);
+        if behavior.answer_delay_ms > 0 {
+            thread::spawn(send_answer);
         } else {
-            respond();
+            send_answer();
         }
     }
 }
 
-/// The copy that a response contains.
+/// The copy that an answer contains.
 #[derive(Clone, Copy)]
 struct ServedCopy {
     /// Unix time in milliseconds.
@@ -247,7 +247,7 @@
     }
 }
 
-fn encode_response(command: &ReceivedCommand, copy: ServedCopy, behavior: Behavior) -> Vec<u8> {
+fn encode_answer(command: &ReceivedCommand, copy: ServedCopy, behavior: Behavior) -> Vec<u8> {
     let created_at_ms = copy.created_at_ms;
     let reported_created_at_ms = if behavior.ignores_max_age {
         command.received_at_ms
--- a/crates/testkit/src/fake_event_bus.rs
+++ b/crates/testkit/src/fake_event_bus.rs
@@ -13,8 +13,8 @@
 /// Interval at which the bus sends a comment while there are no new events.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The states of a server in the endpoint list, as in messages.
-pub mod server_state {
+/// The lifecycle states of a server, as in entries of the endpoint list.
+pub mod endpoint_state {
     /// The server accepts requests.
     pub const READY: &str = "ready";
     /// The server accepts no new requests.
--- a/crates/testkit/src/proxy_fixture.rs
+++ b/crates/testkit/src/proxy_fixture.rs
@@ -5,7 +5,7 @@
 //! time, and resumes the event loop.
 
 use crate::fake_cache::FakeCacheServer;
-use crate::fake_event_bus::{cache_entry, origin_entry, server_state, FakeEventBus};
+use crate::fake_event_bus::{cache_entry, endpoint_state, origin_entry, FakeEventBus};
 use crate::fastcgi_client::FastCgiClient;
 use crate::sample_deployment::{interconnect_config, sample_settings};
 use crate::scripted_server::ScriptedServer;
@@ -256,9 +256,9 @@
 ) -> Value {
     let mut endpoint_list: Vec<Value> = caches
         .iter()
-        .map(|cache| cache_entry(cache, server_state::READY))
+        .map(|cache| cache_entry(cache, endpoint_state::READY))
         .collect();
-    endpoint_list.push(origin_entry(origin, server_state::READY));
+    endpoint_list.push(origin_entry(origin, endpoint_state::READY));
     let known_events = json!({"offset": 0, "batch": [
         {"offset": 0, "topology": {"rev": 1, "all": true, "targets": endpoint_list}},
     ]});
@@ -331,7 +331,8 @@
     }
 }
 
-/// Requests an object and waits for the response. No other request may be open on the connection.
+/// Requests an object and waits for the response. No other request may be pending on the
+/// connection.
 #[track_caller]
 pub fn fetch_object(client: &mut FastCgiClient, class: &str, object_key: &str) -> Response {
     let request_id = 1;
@@ -359,8 +360,8 @@
     (request_id, response.status)
 }
 
-/// Sends a health check and returns the status of its response. No other request may be open on the
-/// connection.
+/// Sends a health check and returns the status of its response. No other request may be pending on
+/// the connection.
 #[track_caller]
 pub fn health_status(client: &mut FastCgiClient) -> u16 {
     client.request_health_check(1).unwrap();
--- a/crates/testkit/src/scenario/deployment.rs
+++ b/crates/testkit/src/scenario/deployment.rs
@@ -3,7 +3,7 @@
 use super::proxy_process::ProxyProcess;
 use super::ScenarioError;
 use crate::fake_cache::{Behavior, FakeCacheServer};
-use crate::fake_event_bus::{cache_entry, origin_entry, server_state, FakeEventBus};
+use crate::fake_event_bus::{cache_entry, endpoint_state, origin_entry, FakeEventBus};
 use crate::fake_peer_cdn::FakePeerCdn;
 use crate::sample_deployment::READ_CLASS;
 use crate::ReceivedCommand;
@@ -34,9 +34,9 @@
         let origin = FakeCacheServer::start("s-0000000f")?;
         let event_bus = FakeEventBus::start()?;
         event_bus.publish_endpoint_list(vec![
-            cache_entry(&caches[0], server_state::READY),
-            cache_entry(&caches[1], server_state::READY),
-            origin_entry(&origin, server_state::READY),
+            cache_entry(&caches[0], endpoint_state::READY),
+            cache_entry(&caches[1], endpoint_state::READY),
+            origin_entry(&origin, endpoint_state::READY),
         ]);
         let peer_cdn = FakePeerCdn::start()?;
         let proxy = ProxyProcess::start(proxy_program, event_bus.address, peer_cdn.address)?;
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Sets how both cache servers respond to requests that they have not received yet.
+    /// Sets how both cache servers answer requests that they have not received yet.
     pub(super) fn set_cache_behavior(&self, behavior: Behavior) {
         for cache in &self.caches {
             cache.set_behavior(behavior);
--- a/crates/testkit/src/scenario/drain.rs
+++ b/crates/testkit/src/scenario/drain.rs
@@ -5,7 +5,7 @@
 use super::deployment::Deployment;
 use super::{InjectedFault, Rule, ScenarioError, ScenarioReport, MEASUREMENT_TOLERANCE_MS};
 use crate::fake_cache::{Behavior, FakeCacheServer};
-use crate::fake_event_bus::{cache_entry, server_state};
+use crate::fake_event_bus::{cache_entry, endpoint_state};
 use crate::sample_deployment::{content_url, interconnect_path, object_key, redirection_request};
 use crate::{http_client, unix_ms, ReceivedCommand, Response, TEST_TIMEOUT};
 use serde_json::Value;
@@ -24,9 +24,9 @@
 const FIRST_REDIRECTED_OBJECT: u64 = 0xb000;
 /// Number of the first object that is requested after the drain.
 const FIRST_OBJECT_AFTER_DRAIN: u64 = 0xc000;
-/// Delay of the cache servers' responses, which is long enough to publish the drain while requests
+/// Delay of the cache servers' answers, which is long enough to publish the drain while requests
 /// wait.
-const RESPONSE_DELAY_MS: u64 = 150;
+const ANSWER_DELAY_MS: u64 = 150;
 const CLIENT_IP: &str = "127.0.0.9";
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const GRACE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -40,11 +40,11 @@
     fault: Option<InjectedFault>,
     report: &mut ScenarioReport,
 ) -> Result<(), ScenarioError> {
-    deployment.set_cache_behavior(Behavior::delayed(RESPONSE_DELAY_MS));
+    deployment.set_cache_behavior(Behavior::delayed(ANSWER_DELAY_MS));
     let clients = start_redirected_clients(deployment, report)?;
     let draining_cache = wait_for_redirected_request(deployment)?;
     if fault != Some(InjectedFault::UnannouncedDrain) {
-        let entry = cache_entry(draining_cache, server_state::DRAINING);
+        let entry = cache_entry(draining_cache, endpoint_state::DRAINING);
         deployment.event_bus.publish_endpoint_changes(vec![entry]);
     }
     let drain_published_at_ms = unix_ms();
--- a/crates/testkit/src/scenario/report.rs
+++ b/crates/testkit/src/scenario/report.rs
@@ -19,7 +19,7 @@
     DrainTakesEffect,
     /// A request has no more attempts than the limit.
     AttemptsBounded,
-    /// On shutdown, open requests are answered and the process exits successfully.
+    /// On shutdown, pending requests are answered and the process exits successfully.
     GracefulShutdown,
 }
 
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -109,8 +109,8 @@
         self.answer(request_id, "200", "how=local,made=1,etag=t1", "all of it")
     }
 
-    /// Reads the next command and answers it with 200 and a cached copy.
-    pub fn serve_next(&mut self) -> io::Result<()> {
+    /// Reads the next command, which should be a fetch, and answers it with 200 and a cached copy.
+    pub fn answer_next_fetch(&mut self) -> io::Result<()> {
         let command = self.next_command()?;
         self.answer_ok(&command.request_id)
     }
