--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -1,9 +1,10 @@
-//! Correction of the local clock by timestamps from the fleet.
+//! The reference time, which corrects the local clock by timestamps from the event bus and the
+//! origin.
 //!
 //! The event bus timestamps purges and server starts with Unix time, and the origin timestamps
 //! copies. The wall clock of this machine may have been wrong by seconds or by an hour when the
 //! process started, and nothing reports this. However, a timestamp that has arrived can't lie in
-//! the future. The fleet's time is therefore ahead of the local clock by at least as much as any
+//! the future. The reference time is therefore ahead of the local clock by at least as much as any
 //! timestamp was on arrival.
 //!
 //! This lower bound of the lead is used to convert timestamps to the local clock. It is the safe
@@ -24,10 +25,10 @@
 /// ignored.
 const MAX_COPY_LEAD_US: i64 = 24 * 3_600 * 1_000_000;
 
-/// A lower bound of how far the fleet's time is ahead of the local clock.
+/// A lower bound of how far the reference time is ahead of the local clock.
 #[derive(Debug, Default)]
 pub struct ReferenceTime {
-    /// The fleet's time is ahead of the local clock by at least this much. None before any
+    /// The reference time is ahead of the local clock by at least this much. None before any
     /// timestamp has arrived.
     min_lead_us: Option<i64>,
     /// The lead that follows from the last timestamp of a copy that would have raised the bound and
@@ -36,7 +37,7 @@
 }
 
 impl ReferenceTime {
-    /// Converts a timestamp of the fleet, in microseconds, to the local clock.
+    /// Converts a timestamp of the event bus or the origin, in microseconds, to the local clock.
     pub fn to_local(&self, timestamp_us: u64) -> Micros {
         timestamp_us.saturating_add_signed(self.min_lead_us.unwrap_or(0).saturating_neg())
     }
--- a/crates/proxy/src/event_loop/reload.rs
+++ b/crates/proxy/src/event_loop/reload.rs
@@ -41,31 +41,31 @@
                 self.limits.reload_timeout_us / 1_000
             );
         }
-        let give_up_at = now + self.limits.reload_timeout_us;
-        self.apply_or_retry(now, new, give_up_at);
+        let retry_deadline = now + self.limits.reload_timeout_us;
+        self.apply_or_retry(now, new, retry_deadline);
     }
 
     /// Reads the configuration again after a failure. The file may have been only partially
     /// written, or opening it may have failed temporarily.
-    pub(super) fn retry_reload(&mut self, now: Micros, give_up_at: Micros) {
+    pub(super) fn retry_reload(&mut self, now: Micros, retry_deadline: Micros) {
         self.reload.retry_timer = None;
         let new = (self.reload.source)();
-        self.apply_or_retry(now, new, give_up_at);
+        self.apply_or_retry(now, new, retry_deadline);
     }
 
     fn apply_or_retry(
         &mut self,
         now: Micros,
         new: Result<Config, ConfigError>,
-        give_up_at: Micros,
+        retry_deadline: Micros,
     ) {
         let new = match new {
             Ok(new) => new,
-            Err(_) if now < give_up_at => {
+            Err(_) if now < retry_deadline => {
                 let at = now + self.limits.reload_retry_interval_us;
                 let timer = self
                     .timers
-                    .schedule(at, TimerEvent::RetryReload { give_up_at });
+                    .schedule(at, TimerEvent::RetryReload { retry_deadline });
                 self.reload.retry_timer = Some(timer);
                 return;
             }
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -76,11 +76,11 @@
 /// Returns a permanent error at once, and a transient error once the retries have taken
 /// `STARTUP_RETRY_TIMEOUT`.
 pub(crate) fn retry_startup_step<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + STARTUP_RETRY_TIMEOUT;
+    let retry_deadline = Instant::now() + STARTUP_RETRY_TIMEOUT;
     loop {
         match step() {
             Err(error)
-                if errors::is_transient_at_startup(&error) && Instant::now() < give_up_at =>
+                if errors::is_transient_at_startup(&error) && Instant::now() < retry_deadline =>
             {
                 log::warn!(
                     "startup step failed, retrying in {} ms: {error}",
--- a/crates/proxy/src/event_loop/timer.rs
+++ b/crates/proxy/src/event_loop/timer.rs
@@ -49,7 +49,7 @@
     /// Read the configuration again after it could not be read.
     RetryReload {
         /// Time after which a further failure is final, in microseconds.
-        give_up_at: Micros,
+        retry_deadline: Micros,
     },
     /// End the grace period that began with SIGTERM.
     EndShutdownGrace,
@@ -78,7 +78,7 @@
             TimerEvent::RetryParkedAttempts => self.retry_parked_attempts(now),
             TimerEvent::RetryConnection(key) => self.retry_connection(now, key),
             TimerEvent::RetryAccept => self.retry_accept(now),
-            TimerEvent::RetryReload { give_up_at } => self.retry_reload(now, give_up_at),
+            TimerEvent::RetryReload { retry_deadline } => self.retry_reload(now, retry_deadline),
             TimerEvent::EndShutdownGrace => self.end_shutdown_grace(now),
             TimerEvent::ShutdownDeadline => self.handle_shutdown_deadline(now),
         }
--- a/crates/proxy/src/event_loop/upstreams/attempts.rs
+++ b/crates/proxy/src/event_loop/upstreams/attempts.rs
@@ -17,14 +17,14 @@
     /// connection is preferred, because `false` sorts first.
     has_no_cancelled_attempt: bool,
     is_connecting: bool,
-    attempts_in_flight: usize,
+    outstanding_count: usize,
     key: SlabKey,
 }
 
 impl Candidate {
     /// Returns whether the server may have closed the connection without the proxy having noticed.
     fn may_be_closed(&self) -> bool {
-        !self.is_connecting && self.attempts_in_flight == 0
+        !self.is_connecting && self.outstanding_count == 0
     }
 }
 
@@ -62,7 +62,7 @@
             Err(ConnectError::Local(_) | ConnectError::TableFull) => {
                 self.park_attempt(now, attempt, server, first_tried_at);
             }
-            // Nothing was written, so the server cannot have run the attempt.
+            // Nothing was written, so the server cannot have executed the attempt.
             Err(ConnectError::ServerGone | ConnectError::ServerFull) => {
                 self.request_table
                     .attempt_ended(now, attempt, Outcome::NotSent.into());
@@ -88,7 +88,7 @@
     ///
     /// A connection with nothing in flight is read first, because the server may have closed it. An
     /// attempt that is written to a closed connection is lost, and the proxy could not determine
-    /// whether the attempt has run.
+    /// whether the attempt was executed.
     fn choose_connection(&mut self, now: Micros, attempt: AttemptId) -> Option<Candidate> {
         loop {
             let candidate = self.best_connection(attempt)?;
@@ -111,7 +111,7 @@
         let request_id = request.id.as_str();
         let candidate = |key: &SlabKey| {
             let (transport, upstream) = self.connections.upstream(*key)?;
-            let attempts_in_flight = upstream.outstanding_count_if_available(
+            let outstanding_count = upstream.outstanding_count_if_available(
                 request_id,
                 &self.request_table,
                 &self.limits,
@@ -119,7 +119,7 @@
             Some(Candidate {
                 has_no_cancelled_attempt: !upstream.has_recent_cancellation(request_id),
                 is_connecting: !transport.is_connected,
-                attempts_in_flight,
+                outstanding_count,
                 key: *key,
             })
         };
@@ -135,7 +135,7 @@
     /// needed, so that no attempt waits for it.
     fn should_open_spare_connection(&self, server: ServerId, candidate: Candidate) -> bool {
         let keys = self.upstream_connections.keys_of(server);
-        let is_shared = candidate.attempts_in_flight >= self.limits.attempts_before_new_connection;
+        let is_shared = candidate.outstanding_count >= self.limits.attempts_before_new_connection;
         let has_spare_slots = self.connections.free_slots() > self.limits.spare_connections;
         let is_connected = |key: &SlabKey| {
             let connection = self.connections.get(*key);
--- a/crates/proxy/src/invariants.rs
+++ b/crates/proxy/src/invariants.rs
@@ -19,7 +19,8 @@
     SendForWaitingClient,
     /// Sending: the server is given no more time than the client has left.
     SendWithinClientTime,
-    /// Retrying: no earlier attempt may have run, unless the request class allows a repetition.
+    /// Retrying: no earlier attempt may have been executed, unless the request class allows a
+    /// repetition.
     RepeatOnlyIfSafe,
     /// Retrying: a request has at most one attempt in flight.
     OneAttemptInFlight,
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -49,10 +49,10 @@
 /// Reads the configuration. Retries for up to [`CONFIGURATION_RETRY_TIMEOUT`] if the error may be
 /// temporary, for example because a file is being written.
 fn read_configuration() -> Result<Config, ConfigError> {
-    let give_up_at = Instant::now() + CONFIGURATION_RETRY_TIMEOUT;
+    let retry_deadline = Instant::now() + CONFIGURATION_RETRY_TIMEOUT;
     loop {
         match Config::from_env() {
-            Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+            Err(error) if error.is_transient() && Instant::now() < retry_deadline => {
                 log::warn!(
                     "cannot read the configuration, retrying in {} ms: {error}",
                     CONFIGURATION_RETRY_INTERVAL.as_millis()
--- a/crates/proxy/src/request_table/admission.rs
+++ b/crates/proxy/src/request_table/admission.rs
@@ -3,8 +3,8 @@
 use std::error::Error;
 use std::fmt;
 
-/// The reason why a request is not admitted. No part of the request has run and the table keeps
-/// nothing of it, so the frontend can reject the request as safe to retry.
+/// The reason why a request is not admitted. No part of the request was executed and the table
+/// keeps nothing of it, so the frontend can reject the request as safe to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionError {
     /// The bodies of all pending requests together would exceed the limit in bytes.
--- a/crates/proxy/src/request_table/attempt.rs
+++ b/crates/proxy/src/request_table/attempt.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct RoutingDecision {
     pub(super) server: ServerId,
-    /// Time-out of the attempt, counted from its start. With `None`, only the deadline of the
+    /// Timeout of the attempt, counted from its start. With `None`, only the deadline of the
     /// request applies.
     pub(super) timeout_us: Option<Micros>,
     pub(super) fill: Option<Fill>,
--- a/crates/proxy/src/request_table/command.rs
+++ b/crates/proxy/src/request_table/command.rs
@@ -10,7 +10,7 @@
 pub enum RequestTimer {
     /// Fires at the deadline of a request, or at an earlier check of it.
     Deadline(RequestKey),
-    /// Fires at the time-out of an attempt.
+    /// Fires at the timeout of an attempt.
     AttemptTimeout(AttemptId),
     /// A timer of the router, identified by its tag.
     Router(u64),
--- a/crates/proxy/src/request_table/guard.rs
+++ b/crates/proxy/src/request_table/guard.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the idempotency of a request's class. A class that the settings don't name counts as
-    /// idempotent, because its requests are never run.
+    /// idempotent, because its requests are never executed.
     fn idempotency_of(&self, request: &ClientRequest) -> Idempotency {
         let known = self.by_class.get(&request.class);
         known.copied().unwrap_or(Idempotency::Idempotent)
--- a/crates/proxy/src/request_table/mod.rs
+++ b/crates/proxy/src/request_table/mod.rs
@@ -163,9 +163,9 @@
         mut entries: Vec<ListedServer>,
     ) {
         self.convert_start_times(now, &mut entries);
-        let withdrawn = self.servers.update(mode, &entries);
+        let no_longer_ready = self.servers.update(mode, &entries);
         self.commands
-            .extend(withdrawn.into_iter().map(Command::DrainServer));
+            .extend(no_longer_ready.into_iter().map(Command::DrainServer));
         let endpoints = entries.into_iter().map(|entry| entry.endpoint).collect();
         self.handle_event(now, Event::EndpointList { mode, endpoints });
     }
@@ -399,7 +399,8 @@
     }
 
     /// Fails every request that still needs a final answer. A shutdown calls this when the process
-    /// may be killed at any moment: `Failed` is the answer that claims nothing about what ran.
+    /// may be killed at any moment: `Failed` is the answer that claims nothing about what was
+    /// executed.
     pub fn fail_all_unsettled(&mut self, now: Micros) {
         for request_key in self.requests.keys() {
             self.fail_if_unsettled(now, request_key);
--- a/crates/proxy/src/request_table/request.rs
+++ b/crates/proxy/src/request_table/request.rs
@@ -82,12 +82,13 @@
 pub enum Answer {
     /// A cache server served the request.
     Served(Content),
-    /// The request was rejected before anything ran, so a retry by the client does no harm.
+    /// The request was rejected before anything was executed, so a retry by the client does no
+    /// harm.
     Rejected {
         /// How long to wait before a retry, in microseconds. `None` gives no advice.
         retry_after_us: Option<Micros>,
     },
-    /// The request failed. A write may have run.
+    /// The request failed. A write may have been executed.
     Failed,
 }
 
--- a/crates/proxy/src/request_table/servers.rs
+++ b/crates/proxy/src/request_table/servers.rs
@@ -57,10 +57,10 @@
         mode: EndpointListMode,
         entries: &[ListedServer],
     ) -> Vec<ServerId> {
-        let mut withdrawn = Vec::new();
+        let mut no_longer_ready = Vec::new();
         if mode == EndpointListMode::Snapshot {
             for id in self.missing_from(entries) {
-                withdrawn.extend(self.set_state(id, EndpointState::Gone));
+                no_longer_ready.extend(self.set_state(id, EndpointState::Gone));
             }
         }
         for entry in entries {
@@ -71,11 +71,11 @@
                 entry.address,
                 entry.endpoint.state
             );
-            withdrawn.extend(self.apply_entry(entry));
+            no_longer_ready.extend(self.apply_entry(entry));
         }
         self.servers
             .retain(|_, server| server.state != EndpointState::Gone);
-        withdrawn
+        no_longer_ready
     }
 
     fn missing_from(&self, entries: &[ListedServer]) -> Vec<ServerId> {
@@ -88,7 +88,7 @@
     }
 
     /// Applies one entry. A server new to the directory counts as previously ready, so that it is
-    /// also returned as withdrawn if its first entry says that it is draining.
+    /// also returned if its first entry says that it is draining.
     fn apply_entry(&mut self, entry: &ListedServer) -> Option<ServerId> {
         let id = entry.endpoint.id;
         let server = self.servers.entry(id).or_insert_with(|| KnownServer {
@@ -105,8 +105,8 @@
     fn set_state(&mut self, id: ServerId, state: EndpointState) -> Option<ServerId> {
         let server = self.servers.get_mut(&id)?;
         let before = std::mem::replace(&mut server.state, state);
-        let was_withdrawn = before == EndpointState::Ready && state != EndpointState::Ready;
-        was_withdrawn.then_some(id)
+        let stopped_being_ready = before == EndpointState::Ready && state != EndpointState::Ready;
+        stopped_being_ready.then_some(id)
     }
 
     /// Returns whether any server is ready.
--- a/crates/proxy/src/request_table/settlement.rs
+++ b/crates/proxy/src/request_table/settlement.rs
@@ -92,7 +92,7 @@
     }
 
     /// Ends a request whose deadline has passed, and sets the next timer for any other request. An
-    /// attempt in flight ends with a time-out, and the router then decides on the final answer; it
+    /// attempt in flight ends with a timeout, and the router then decides on the final answer; it
     /// can't decide on a retry any more. The same applies to an attempt that continues after its
     /// client disconnected because the settings don't allow cancellation: its answer may never
     /// come.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -119,8 +119,9 @@
     /// ids. `is_connected` says whether the connection was ever established, and `bytes_written` is
     /// the number of bytes written on it.
     ///
-    /// An attempt that was not written completely can't have run, while the others may have run.
-    /// Only a connection that was never established shows that its server can't be reached.
+    /// An attempt that was not written completely can't have been executed, while the others may
+    /// have been executed. Only a connection that was never established shows that its server can't
+    /// be reached.
     pub fn close(self, is_connected: bool, bytes_written: u64, events: &mut Vec<UpstreamEvent>) {
         let unsent_outcome = if is_connected {
             Outcome::NotSent
--- a/crates/proxy/src/upstream/read.rs
+++ b/crates/proxy/src/upstream/read.rs
@@ -162,6 +162,6 @@
 ) -> bool {
     answer.copy_created_by_us().is_some_and(|created_by_us| {
         let created_at = request_table.copy_created_at(created_by_us);
-        sent.is_copy_too_old(created_at)
+        sent.is_copy_outdated(created_at)
     })
 }
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -135,9 +135,9 @@
     }
 
     /// Returns the event to report when the connection closes after `bytes_written`. An attempt
-    /// that was not written completely can't have run and ends with `unsent_outcome`. An attempt
-    /// that was written completely may have run. Returns `None` if the end of the stream was
-    /// already reported.
+    /// that was not written completely can't have been executed and ends with `unsent_outcome`. An
+    /// attempt that was written completely may have been executed. Returns `None` if the end of the
+    /// stream was already reported.
     pub(super) fn event_on_close(
         self,
         bytes_written: u64,
@@ -166,7 +166,7 @@
 impl SentAttempt {
     /// Returns whether a copy created at `created_at`, on the scale of the loop's clock, is older
     /// than the attempt accepts.
-    pub(super) fn is_copy_too_old(&self, created_at: Micros) -> bool {
+    pub(super) fn is_copy_outdated(&self, created_at: Micros) -> bool {
         self.max_age_us
             .is_some_and(|max_age_us| created_at.saturating_add(max_age_us) < self.sent_at)
     }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -142,7 +142,8 @@
         assert_eq!(
             next_response(&mut client).1.status,
             502,
-            "a write that may have run was not answered as failed, cancel allowed: {cancel_allowed}"
+            "a write that may have been executed was not answered as failed, cancel allowed: \
+             {cancel_allowed}"
         );
         assert!(
             is_closed(&mut client),
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -384,7 +384,7 @@
     assert!(admit(&mut request_table, 2, same_id).is_ok());
 }
 
-/// Without its idempotency key, a retried write could run twice at the origin.
+/// Without its idempotency key, a retried write could be executed twice at the origin.
 #[test]
 fn a_class_with_idempotency_keys_admits_no_request_without_one() {
     let mut request_table = new_table(&limits());
@@ -507,7 +507,7 @@
     assert_eq!(spec.max_age_us, Some(7));
 }
 
-/// The wall clock may be wrong at the start. Until another timestamp shows the fleet's time, only
+/// The wall clock may be wrong at the start. Until another timestamp shows the reference time, only
 /// the arrival of a purge is a safe bound for the age of copies.
 #[test]
 fn until_a_timestamp_confirms_the_clock_a_purge_counts_from_its_arrival() {
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 /// Returns an address at which nothing listens any more. A refused connection proves that no
-/// attempt has run.
+/// attempt was executed.
 fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -13,8 +13,8 @@
 /// First part of a long answer under the id `01`.
 const PARTIAL_ANSWER: &[u8] = b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$9000\r\nbut no mo";
 
-/// A written attempt may have run at the server, a queued one cannot have. The router decides from
-/// this difference whether the request may be retried.
+/// A written attempt may have been executed at the server, a queued one cannot have. The router
+/// decides from this difference whether the request may be retried.
 #[test]
 fn closing_reports_written_attempts_as_reset_and_queued_ones_as_never_sent() {
     let mut fixture = Fixture::connected();
@@ -35,7 +35,7 @@
 }
 
 /// The server cannot run a command that it received only in part. Reporting it as reset would rule
-/// out the retry of a request that must not run twice.
+/// out the retry of a request that must not be executed twice.
 #[test]
 fn closing_reports_an_attempt_written_in_part_as_never_sent() {
     let mut fixture = Fixture::connected();
@@ -107,7 +107,7 @@
 }
 
 /// The router may start a further attempt as soon as a cancellation is reported. If that attempt
-/// reached another server before the abort arrived, both attempts would run at once.
+/// reached another server before the abort arrived, both attempts would be executed at once.
 #[test]
 fn a_cancellation_is_reported_once_the_abort_has_had_time_to_arrive() {
     let mut fixture = Fixture::connected();
--- a/crates/proxy/tests/upstream_connections.rs
+++ b/crates/proxy/tests/upstream_connections.rs
@@ -239,8 +239,8 @@
         .answer(&fetch.request_id, "503", "-", "")
         .unwrap();
 
-    // The attempt never ran, so there is a retry. On the same connection, a duplicate of the first
-    // answer could not be distinguished from the answer to the retry.
+    // The attempt was never executed, so there is a retry. On the same connection, a duplicate of
+    // the first answer could not be distinguished from the answer to the retry.
     let mut retry_connection = server.accept().unwrap();
     let retry = retry_connection.next_command().unwrap();
     assert_eq!(retry.name, "fetch");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -28,9 +28,9 @@
 //!     stale_grace_us: 0,
 //!     stale_weight: 0.0,
 //! };
-//! let zone = |name: &str, edge_proxies, hub| Zone {
+//! let zone = |name: &str, edge_proxy_count, hub| Zone {
 //!     name: name.into(),
-//!     edge_proxies,
+//!     edge_proxy_count,
 //!     hub,
 //!     link_kb_per_s: 0.0,
 //! };
@@ -73,7 +73,7 @@
 //! let mut router = Router::new(settings.clone(), 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list contains a cache in the router's own zone and the origin at the hub.
+//! // The endpoint list contains a cache server in the router's own zone and the origin at the hub.
 //! let server = |id, zone: &str, kind: &str| Endpoint {
 //!     id,
 //!     zone: zone.into(),
@@ -93,7 +93,7 @@
 //!     &mut actions,
 //! );
 //!
-//! // The router sends a request to the cache, with the origin as the fill source.
+//! // The router sends a request to the cache server, with the origin as the fill source.
 //! actions.clear();
 //! let request = Request {
 //!     id: 7,
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: what caches, the location's link and the origin can serve in time, and load shedding
-//! of the requests beyond that.
+//! Admission: what cache servers, the location's link and the origin can serve in time, and load
+//! shedding of the requests beyond that.
 
 use super::{replication::Selection, retry::ANSWER_OVERHEAD_S, Router};
 use crate::action::Action;
@@ -7,8 +7,8 @@
 use crate::settings::{DedupScope, Idempotency, Micros};
 use crate::state::{RequestState, Role, ServerState};
 
-/// Largest share of the remaining time that a transfer from a cache may be expected to take. The
-/// rest is a margin: the load is an estimate, all routers act on the same estimate, and more
+/// Largest share of the remaining time that a transfer from a cache server may be expected to take.
+/// The rest is a margin: the load is an estimate, all routers act on the same estimate, and more
 /// transfers start while this one runs.
 const MAX_CACHE_TIME_SHARE: f64 = 0.75;
 /// Largest share of the remaining time that a fill may need on the location's link. Late fills
@@ -56,9 +56,9 @@
             && self.slow_start_allows(server, self.router.slow_start_charge_s(self.request))
     }
 
-    /// Returns whether a cache is expected to answer before the request's latency objective or,
-    /// once that has passed, before its deadline. Otherwise the cache is full in the sense of the
-    /// design. The estimate uses the transfers in flight and the capacity that hits showed.
+    /// Returns whether a cache server is expected to answer before the request's latency objective
+    /// or, once that has passed, before its deadline. Otherwise the cache server counts as full.
+    /// The estimate uses the transfers in flight and the capacity that hits showed.
     pub(super) fn serves_in_time(&self, server: &ServerState) -> bool {
         let capacity_share = server.warm_up_capacity_share(self.now);
         let capacity = self.observed_capacity(server) * capacity_share;
@@ -127,8 +127,8 @@
 
     /// Returns how many transfers a server's link carries at full rate. If the weights do not state
     /// this, it is estimated from the links of the locations. This estimate is low: those links
-    /// carry only misses, so a cache has more than its part of one, and a parent is built for more
-    /// than one location.
+    /// carry only misses, so a cache server has more than its part of one, and a parent is built
+    /// for more than one location.
     pub(super) fn nominal_capacity(&self, server: &ServerState) -> f64 {
         if self.settings.weights_are_capacities {
             return server.weight;
--- a/crates/routing/src/policy/outlier.rs
+++ b/crates/routing/src/policy/outlier.rs
@@ -91,8 +91,8 @@
     }
 
     /// Returns the chance that a late attempt waits for a fill. It is 1 if the object's group was
-    /// purged or the cache is warming up after it started empty: a slow fill is then due to the
-    /// origin or the link, and a retry would only add another fill.
+    /// purged or the cache server is warming up after it started empty: a slow fill is then due to
+    /// the origin or the link, and a retry would only add another fill.
     fn fill_wait_chance(&self, now: Micros, attempt: &InFlightAttempt) -> f64 {
         let server = self.servers.get(attempt.server);
         if attempt.group_recently_purged || server.is_some_and(|server| server.is_warming_up(now)) {
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -1,5 +1,5 @@
-//! Replication: how many caches hold copies of an object, which cache receives a request, and which
-//! source fills a miss.
+//! Replication: how many cache servers hold copies of an object, which of them receives a request,
+//! and which source fills a miss.
 
 use super::Router;
 use crate::settings::{DedupScope, Micros, PeerFill};
@@ -43,8 +43,8 @@
         self.pick_cache().or_else(|| self.pick_last_resort())
     }
 
-    /// Returns how many caches should hold a copy of the object. The object's share of the caches
-    /// is its share of all requests, rounded up to at least one cache.
+    /// Returns how many cache servers should hold a copy of the object. The object's share of the
+    /// cache servers is its share of all requests, rounded up to at least one cache server.
     fn copy_count(&self) -> usize {
         let total_requests = self.router.popularity.total_requests(self.now);
         let share = self.request.object_request_count / total_requests.max(MIN_TOTAL_REQUEST_COUNT);
@@ -52,9 +52,9 @@
         copy_count.ceil().max(1.0) as usize
     }
 
-    /// Picks a cache uniformly at random among those that should hold a copy and are not full. If
-    /// there is none, picks the next cache in the rendezvous order that is not full. Returns None
-    /// if no cache can be used.
+    /// Picks a cache server uniformly at random among those that should hold a copy and are not
+    /// full. If there is none, picks the next cache server in the rendezvous order that is not
+    /// full. Returns None if no cache server can be used.
     fn pick_cache(&self) -> Option<Target> {
         let failed_servers = &self.request.failed_servers;
         let usable =
@@ -77,16 +77,17 @@
         is_useful.then(|| Target::new(cache, source))
     }
 
-    /// Picks another cache as the fill source, which saves transfers on the location's link. A
-    /// cache that is not the first in the rendezvous order, or that is warming up, is filled from
-    /// the cache that most likely holds a copy. Returns None if no peer fill is possible or useful.
+    /// Picks another cache server as the fill source, which saves transfers on the location's link.
+    /// A cache server that is not the first in the rendezvous order, or that is warming up, is
+    /// filled from the cache server that most likely holds a copy. Returns None if no peer fill is
+    /// possible or useful.
     fn pick_peer(&self, cache: &ServerState) -> Option<&'a ServerState> {
         let mut caches = self.ranked.caches.iter().copied();
         let first = self.ranked.caches.first()?;
         let peer = caches.find(|peer| peer.id != cache.id)?;
         let lacks_copy = first.id != cache.id || cache.is_warming_up(self.now);
         let enabled = self.router.settings.peer_fill != PeerFill::Off;
-        let wanted = enabled && lacks_copy && !self.request.has_failed_source(peer.id);
+        let wanted = enabled && lacks_copy && !self.request.has_failed_fill_source(peer.id);
         let usable = wanted && !peer.is_warming_up(self.now) && self.can_serve(peer);
         usable.then_some(peer)
     }
@@ -107,7 +108,7 @@
             sources.extend(self.ranked.origin);
         }
         sources.retain(|source| {
-            !self.request.has_failed_source(source.id) && self.rules_allow(source)
+            !self.request.has_failed_fill_source(source.id) && self.rules_allow(source)
         });
         let is_available = |source: &&ServerState| source.is_available(self.now);
         let mut available = sources.iter().copied().filter(is_available);
@@ -119,9 +120,9 @@
         preferred.or(sources.first().copied())
     }
 
-    /// Picks the target of a write, which runs at the origin. The write is sent to the origin
-    /// directly where that is allowed, otherwise through a cache. Returns None if no server may
-    /// receive it.
+    /// Picks the target of a write, which is executed at the origin. The write is sent to the
+    /// origin directly where that is allowed, otherwise through a cache server. Returns None if no
+    /// server may receive it.
     fn pick_for_write(&self) -> Option<Target> {
         let scope = self.router.class(self.request).dedup_scope;
         let drops_repeats = |server: &ServerState| {
@@ -133,7 +134,8 @@
                     DedupScope::Cell => server.cell == execution.cell,
                 })
         };
-        // A write can run only at the origin, so it is sent there even while the origin is ejected.
+        // A write can be executed only at the origin, so it is sent there even while the origin is
+        // ejected.
         let origin = self.ranked.origin?;
         if self.router.settings.direct_requests && drops_repeats(origin) {
             return Some(Target::new(origin, None));
@@ -144,20 +146,21 @@
         Some(Target::new(cache, Some(origin)))
     }
 
-    /// Picks a target for a read when no available cache would serve it in time. Returns None if
-    /// there is no target.
+    /// Picks a target for a read when no available cache server would serve it in time. Returns
+    /// None if there is no target.
     ///
-    /// If no cache is available at all, the target is the first available parent where direct
-    /// requests are allowed. Otherwise it is the first reachable cache that would serve the request
-    /// in time, ejected or not: when ejections leave no cache available, they indicate overload
-    /// rather than faults of single servers.
+    /// If no cache server is available at all, the target is the first available parent where
+    /// direct requests are allowed. Otherwise it is the first reachable cache server that would
+    /// serve the request in time, ejected or not: when ejections leave no cache server available,
+    /// they indicate overload rather than faults of single servers.
     fn pick_last_resort(&self) -> Option<Target> {
         let (caches, origin) = (&self.ranked.caches, self.ranked.origin);
         let failed_servers = &self.request.failed_servers;
         let eligible = |server: &&&ServerState| {
             !failed_servers.contains(&server.id) && self.rules_allow(server)
         };
-        let origin_failed = origin.is_some_and(|origin| self.request.has_failed_source(origin.id));
+        let origin_failed =
+            origin.is_some_and(|origin| self.request.has_failed_fill_source(origin.id));
         let cache_available = caches.iter().any(|cache| cache.is_available(self.now));
         let direct = self.router.settings.direct_requests && !cache_available && !origin_failed;
         if direct && !self.link_is_full() {
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -19,7 +19,7 @@
     /// The request carries an idempotency key, by which a group of servers drops repeats for a
     /// limited time.
     IdempotencyKey,
-    /// The request must not run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
@@ -60,7 +60,7 @@
     pub streaming: bool,
     /// Whether objects of the class have several parts.
     pub multipart: bool,
-    /// Whether the request is a write, which runs at the origin and is never cached.
+    /// Whether the request is a write, which is executed at the origin and is never cached.
     pub is_write: bool,
     /// How long a copy is fresh; 0 if it is fresh until it is purged.
     pub freshness_lifetime_us: Micros,
@@ -84,8 +84,8 @@
 pub struct Zone {
     /// The zone's name, as in the endpoint list.
     pub name: String,
-    /// Number of edge proxies in the zone.
-    pub edge_proxies: u32,
+    /// Number of edge proxies in the zone. Each runs one router.
+    pub edge_proxy_count: u32,
     /// Index of the zone that is the hub of this one.
     pub hub: usize,
     /// Rate of the link that all fills of the zone share, in KB per second; 0 if unknown.
@@ -241,13 +241,13 @@
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Returns the limits of a cache of the router's own zone that is warming up.
+    /// Returns the limits of a cache server of the router's own zone that is warming up.
     pub(crate) fn cache_warm_up(&self) -> WarmUp {
         WarmUp {
             initial_share: self.rules.warm_up_initial_share,
             duration_us: self.rules.warm_up_us,
             overload_multiple: self.rules.overload_multiple,
-            router_count: self.own_zone().edge_proxies,
+            router_count: self.own_zone().edge_proxy_count,
         }
     }
 
@@ -257,13 +257,13 @@
             initial_share: self.rules.parent_warm_up_initial_share,
             duration_us: self.rules.parent_warm_up_us,
             overload_multiple: self.rules.parent_overload_multiple,
-            router_count: self.zones.iter().map(|zone| zone.edge_proxies).sum(),
+            router_count: self.zones.iter().map(|zone| zone.edge_proxy_count).sum(),
         }
     }
 
     /// Returns the number of other edge proxies in the router's own zone.
     pub(crate) fn other_router_count(&self) -> f64 {
-        f64::from(self.own_zone().edge_proxies.max(1)) - 1.0
+        f64::from(self.own_zone().edge_proxy_count.max(1)) - 1.0
     }
 
     /// Returns the time in seconds that a transfer of this size takes if it shares no link, or None
--- a/crates/routing/src/state/purges.rs
+++ b/crates/routing/src/state/purges.rs
@@ -24,8 +24,8 @@
     last_group_purge_notified_at: Option<Micros>,
 }
 
-fn group_key(group: u64) -> u64 {
-    hash::finalize(group ^ GROUP_KEY_SALT)
+fn group_key(purge_group: u64) -> u64 {
+    hash::finalize(purge_group ^ GROUP_KEY_SALT)
 }
 
 impl PurgeTable {
@@ -44,14 +44,14 @@
         &mut self,
         now: Micros,
         object: Option<&str>,
-        group: u64,
+        purge_group: u64,
         purged_at: Micros,
         permanent: bool,
     ) {
         if object.is_none() {
             self.last_group_purge_notified_at = Some(now);
         }
-        let key = object.map_or(group_key(group), hash::text);
+        let key = object.map_or(group_key(purge_group), hash::text);
         let purge = self.purges.entry(key).or_insert(Purge {
             purged_at,
             permanent: false,
@@ -85,23 +85,28 @@
         &self,
         now: Micros,
         object_hash: u64,
-        group: u64,
+        purge_group: u64,
     ) -> Option<Micros> {
         let object_purged_at = self.purges.get(&object_hash).map(|purge| purge.purged_at);
-        let last_purged_at = object_purged_at.max(self.group_purged_at(group));
+        let last_purged_at = object_purged_at.max(self.group_purged_at(purge_group));
         last_purged_at.map(|purged_at| now.saturating_sub(purged_at).max(1))
     }
 
     /// Returns whether this whole purge group was purged at most `within_us` microseconds before
     /// `now`.
-    pub(crate) fn group_purged_within(&self, group: u64, now: Micros, within_us: Micros) -> bool {
-        let group_purged_at = self.group_purged_at(group);
+    pub(crate) fn group_purged_within(
+        &self,
+        purge_group: u64,
+        now: Micros,
+        within_us: Micros,
+    ) -> bool {
+        let group_purged_at = self.group_purged_at(purge_group);
         group_purged_at.is_some_and(|purged_at| now <= purged_at + within_us)
     }
 
-    fn group_purged_at(&self, group: u64) -> Option<Micros> {
+    fn group_purged_at(&self, purge_group: u64) -> Option<Micros> {
         self.purges
-            .get(&group_key(group))
+            .get(&group_key(purge_group))
             .map(|purge| purge.purged_at)
     }
 
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -179,7 +179,7 @@
     }
 
     /// Returns whether this fill source failed a fill for the request.
-    pub(crate) fn has_failed_source(&self, source: ServerId) -> bool {
+    pub(crate) fn has_failed_fill_source(&self, source: ServerId) -> bool {
         self.failed_fill_sources.contains(&source)
     }
 
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -28,9 +28,9 @@
 }
 
 fn settings() -> Settings {
-    let zone = |name: &str, edge_proxies| Zone {
+    let zone = |name: &str, edge_proxy_count| Zone {
         name: name.into(),
-        edge_proxies,
+        edge_proxy_count,
         hub: 0,
         link_kb_per_s: 0.0,
     };
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -137,7 +137,7 @@
             under_load: true,
             once_idle: true,
         },
-        "a time-out shows nothing about the link: the attempt may have waited for the origin"
+        "a timeout shows nothing about the link: the attempt may have waited for the origin"
     );
     assert_eq!(
         fills_allowed_after(Outcome::Ok, FillResult::Filled, 130 * MILLISECOND_US),
@@ -185,7 +185,7 @@
 #[test]
 fn a_few_transfers_of_one_router_among_hundreds_do_not_saturate_a_cache_server() {
     let mut settings = settings();
-    settings.zones[LOCAL_ZONE_INDEX].edge_proxies = 200;
+    settings.zones[LOCAL_ZONE_INDEX].edge_proxy_count = 200;
     let mut harness = Harness::new(settings, fleet());
     let first = harness.forward(VIDEO, "/o/same");
     for _ in 0..2 {
--- a/crates/routing/tests/cancellation.rs
+++ b/crates/routing/tests/cancellation.rs
@@ -25,12 +25,12 @@
 fn slow_fills_after_a_group_purge_do_not_count_as_an_unresponsive_server() {
     const PURGE_AGE_US: Micros = 100 * MILLISECOND_US;
     assert_eq!(
-        cancellations_after_purge(group_purge(GROUP, PURGE_AGE_US)),
+        cancellations_after_purge(group_purge(PURGE_GROUP, PURGE_AGE_US)),
         [],
         "every copy was purged, so the attempts wait for the origin"
     );
     assert!(
-        !cancellations_after_purge(group_purge(OTHER_GROUP, PURGE_AGE_US)).is_empty(),
+        !cancellations_after_purge(group_purge(OTHER_PURGE_GROUP, PURGE_AGE_US)).is_empty(),
         "the copies of this group were not purged, so late attempts are suspicious"
     );
     assert!(
@@ -183,7 +183,7 @@
 /// Returns a router that was notified ten seconds ago of the purge of another group.
 fn harness_after_group_purge() -> Harness {
     let mut harness = Harness::with_defaults();
-    harness.handle(group_purge(OTHER_GROUP, 100 * MILLISECOND_US));
+    harness.handle(group_purge(OTHER_PURGE_GROUP, 100 * MILLISECOND_US));
     harness.advance(10 * SECOND_US);
     harness
 }
--- a/crates/routing/tests/origin_load_shedding.rs
+++ b/crates/routing/tests/origin_load_shedding.rs
@@ -157,7 +157,7 @@
 }
 
 /// Returns how many of 40 requests must not reach the origin after a group was purged and 20
-/// requests for objects of [`GROUP`] have timed out.
+/// requests for objects of [`PURGE_GROUP`] have timed out.
 fn requests_kept_from_origin_after_timeouts(purged_group: u64) -> usize {
     let mut harness = Harness::with_defaults();
     harness.handle(group_purge(purged_group, 100 * MILLISECOND_US));
@@ -177,12 +177,12 @@
 #[test]
 fn time_outs_of_purged_objects_start_load_shedding() {
     assert!(
-        requests_kept_from_origin_after_timeouts(GROUP) > 20,
+        requests_kept_from_origin_after_timeouts(PURGE_GROUP) > 20,
         "only the origin could have served the purged objects"
     );
     assert_eq!(
-        requests_kept_from_origin_after_timeouts(OTHER_GROUP),
+        requests_kept_from_origin_after_timeouts(OTHER_PURGE_GROUP),
         0,
-        "a time-out of an object that may be cached shows nothing about the origin"
+        "a timeout of an object that may be cached shows nothing about the origin"
     );
 }
--- a/crates/routing/tests/purges.rs
+++ b/crates/routing/tests/purges.rs
@@ -4,12 +4,12 @@
 use edge_routing::*;
 use support::*;
 
-/// Returns the event that the whole of [`GROUP`] was purged just now, and that the servers were not
-/// notified of it.
+/// Returns the event that the whole of [`PURGE_GROUP`] was purged just now, and that the servers
+/// were not notified of it.
 fn permanent_group_purge() -> Event {
     Event::Purged {
         object: None,
-        purge_group: GROUP,
+        purge_group: PURGE_GROUP,
         age_us: 0,
         permanent: true,
     }
@@ -25,7 +25,7 @@
     let mut harness = Harness::with_defaults();
     for (purge, object) in [
         (object_purge("/o/a", PURGE_AGE_US), "/o/a"),
-        (group_purge(GROUP, PURGE_AGE_US), "/o/b"),
+        (group_purge(PURGE_GROUP, PURGE_AGE_US), "/o/b"),
     ] {
         harness.handle(purge);
         let start = harness.now;
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -18,13 +18,13 @@
 /// The same as [`OVERLOAD_MULTIPLE`] for parents.
 const PARENT_OVERLOAD_MULTIPLE: f64 = 2.0;
 /// The purge group of the requests in the tests with many routers.
-const REQUEST_GROUP: u64 = 1;
+const REQUEST_PURGE_GROUP: u64 = 1;
 
-/// Returns how many of 200 simultaneous requests one of `edge_proxies` routers forwards to a cache
-/// server that has just started and is the only one of its location.
-fn attempts_at_just_started_cache_server(edge_proxies: u32) -> usize {
+/// Returns how many of 200 simultaneous requests one of `edge_proxy_count` routers forwards to a
+/// cache server that has just started and is the only one of its location.
+fn attempts_at_just_started_cache_server(edge_proxy_count: u32) -> usize {
     let mut settings = settings_without_direct_requests();
-    settings.zones[LOCAL_ZONE_INDEX].edge_proxies = edge_proxies;
+    settings.zones[LOCAL_ZONE_INDEX].edge_proxy_count = edge_proxy_count;
     let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
     endpoints[0].started_at = Some(START_TIME_US);
     let mut harness = Harness::new(settings, endpoints);
@@ -69,12 +69,12 @@
     assert!((1..=BUDGET_TRANSFERS).contains(&fills), "{fills} fills");
 }
 
-/// Returns settings where all `edge_proxies` routers are in one location whose link is never a
+/// Returns settings where all `edge_proxy_count` routers are in one location whose link is never a
 /// bottleneck.
-fn settings_with_edge_proxies(edge_proxies: u32) -> Settings {
+fn settings_with_edge_proxies(edge_proxy_count: u32) -> Settings {
     let mut settings = settings_without_direct_requests();
-    settings.zones[LOCAL_ZONE_INDEX].edge_proxies = edge_proxies;
-    settings.zones[REMOTE_ZONE_INDEX].edge_proxies = 0;
+    settings.zones[LOCAL_ZONE_INDEX].edge_proxy_count = edge_proxy_count;
+    settings.zones[REMOTE_ZONE_INDEX].edge_proxy_count = 0;
     settings.zones[LOCAL_ZONE_INDEX].link_kb_per_s = UNLIMITED_LINK_KB_PER_S;
     settings
 }
@@ -96,21 +96,21 @@
     }
 }
 
-/// Returns the work in seconds that `edge_proxies` routers together give to a server that started a
-/// second ago. Each router has 60 simultaneous requests.
-fn simultaneous_work_s(edge_proxies: u32, warming_up: ServerId) -> f64 {
+/// Returns the work in seconds that `edge_proxy_count` routers together give to a server that
+/// started a second ago. Each router has 60 simultaneous requests.
+fn simultaneous_work_s(edge_proxy_count: u32, warming_up: ServerId) -> f64 {
     const REQUESTS_PER_ROUTER: u64 = 60;
-    let settings = settings_with_edge_proxies(edge_proxies);
+    let settings = settings_with_edge_proxies(edge_proxy_count);
     let endpoints = fleet_with_started(warming_up, START_TIME_US - SECOND_US);
     let mut work_s = 0.0;
-    for index in 0..edge_proxies {
+    for index in 0..edge_proxy_count {
         let seed = router_seed(index);
         let mut router =
             router_with_endpoints(settings.clone(), seed, START_TIME_US, endpoints.clone());
         let mut actions = Vec::new();
         for number in 0..REQUESTS_PER_ROUTER {
             let request = Request {
-                purge_group: REQUEST_GROUP,
+                purge_group: REQUEST_PURGE_GROUP,
                 ..request(number + 1, VIDEO, &format!("/o/{number}"))
             };
             router.handle(START_TIME_US, Event::Request(request), &mut actions);
@@ -126,15 +126,16 @@
 
 /// Asserts that 1, 8 and 200 routers use a server that is warming up, but stay within its budget.
 fn assert_used_within_budget(warming_up: ServerId, budget_s: f64) {
-    for edge_proxies in [1, 8, 200] {
-        let work_s = simultaneous_work_s(edge_proxies, warming_up);
+    for edge_proxy_count in [1, 8, 200] {
+        let work_s = simultaneous_work_s(edge_proxy_count, warming_up);
         assert!(
             work_s > 0.0,
-            "{edge_proxies} edge proxies leave the server idle"
+            "{edge_proxy_count} edge proxies leave the server idle"
         );
         assert!(
             work_s < budget_s,
-            "{edge_proxies} edge proxies give it {work_s} s of work with a budget of {budget_s} s"
+            "{edge_proxy_count} edge proxies give it {work_s} s of work with a budget of \
+             {budget_s} s"
         );
     }
 }
@@ -158,7 +159,7 @@
 /// Routers that receive requests at a steady rate while a cache server is warming up.
 struct WarmUpScenario {
     /// The number of routers.
-    edge_proxies: u32,
+    edge_proxy_count: u32,
     /// The interval between two requests to one router.
     request_interval_us: Micros,
     /// The number of routers that lose their state at each restart.
@@ -192,7 +193,7 @@
     /// Creates a router that has just received the endpoint list.
     fn new_router(&self, seed_index: u32, now: Micros) -> Router {
         router_with_endpoints(
-            settings_with_edge_proxies(self.edge_proxies),
+            settings_with_edge_proxies(self.edge_proxy_count),
             router_seed(seed_index),
             now,
             fleet_with_started(WarmUpScenario::JUST_STARTED_SERVER, START_TIME_US),
@@ -203,7 +204,7 @@
     /// up.
     fn attempt_times(&self) -> Vec<Micros> {
         let end = START_TIME_US + WarmUpScenario::WINDOW_COUNT * SECOND_US;
-        let mut routers: Vec<Router> = (0..self.edge_proxies)
+        let mut routers: Vec<Router> = (0..self.edge_proxy_count)
             .map(|index| self.new_router(index, START_TIME_US))
             .collect();
         let mut times = Vec::new();
@@ -214,7 +215,7 @@
             if self.restarts_after_us.contains(&(now - START_TIME_US)) {
                 restarts += 1;
                 for index in 0..self.restarted {
-                    let seed_index = self.edge_proxies * restarts + index;
+                    let seed_index = self.edge_proxy_count * restarts + index;
                     routers[index as usize] = self.new_router(seed_index, now);
                 }
             }
@@ -263,7 +264,7 @@
 fn forward_and_serve(router: &mut Router, now: Micros, id: RequestId) -> Vec<ServerId> {
     const OBJECTS: u64 = 997;
     let request = Request {
-        purge_group: REQUEST_GROUP,
+        purge_group: REQUEST_PURGE_GROUP,
         ..request(id, VIDEO, &format!("/o/{}", id % OBJECTS))
     };
     let mut actions = Vec::new();
@@ -288,8 +289,8 @@
     // Both restarts fall within the same window of the budget.
     const TWO_EARLY_RESTARTS_US: &[Micros] = &[500 * MILLISECOND_US, 900 * MILLISECOND_US];
     let scenario =
-        |edge_proxies, request_interval_us, restarted, restarts_after_us| WarmUpScenario {
-            edge_proxies,
+        |edge_proxy_count, request_interval_us, restarted, restarts_after_us| WarmUpScenario {
+            edge_proxy_count,
             request_interval_us,
             restarted,
             restarts_after_us,
@@ -313,7 +314,7 @@
             highest <= 1.0,
             "{} edge proxies with a request every {} us, of which {} restart after {:?} us, send \
              {highest} times the allowed attempts",
-            scenario.edge_proxies,
+            scenario.edge_proxy_count,
             scenario.request_interval_us,
             scenario.restarted,
             scenario.restarts_after_us
@@ -357,7 +358,7 @@
 fn a_start_time_that_moves_earlier_ends_the_slow_start_sooner() {
     let attempts_after = |moved_earlier_us: Micros| {
         let mut settings = settings_without_direct_requests();
-        settings.zones[LOCAL_ZONE_INDEX].edge_proxies = 1;
+        settings.zones[LOCAL_ZONE_INDEX].edge_proxy_count = 1;
         let mut endpoints = fleet_with_one_cache_server(CACHE_SERVERS[0]);
         endpoints[0].started_at = Some(START_TIME_US);
         let mut harness = Harness::new(settings, endpoints);
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -78,9 +78,9 @@
 pub const ORIGIN: ServerId = 21;
 
 /// The purge group of every requested object.
-pub const GROUP: u64 = 3;
+pub const PURGE_GROUP: u64 = 3;
 /// A purge group that no requested object belongs to.
-pub const OTHER_GROUP: u64 = 4;
+pub const OTHER_PURGE_GROUP: u64 = 4;
 
 /// Returns a class of idempotent reads with a latency objective of half a second.
 pub fn class(name: &str) -> Class {
@@ -130,9 +130,9 @@
 
 /// Returns the hub and two locations with one edge proxy each.
 pub fn zones() -> Vec<Zone> {
-    let zone = |index: usize, edge_proxies, link_kb_per_s| Zone {
+    let zone = |index: usize, edge_proxy_count, link_kb_per_s| Zone {
         name: ZONE_NAMES[index].into(),
-        edge_proxies,
+        edge_proxy_count,
         hub: HUB_ZONE_INDEX,
         link_kb_per_s,
     };
@@ -296,7 +296,7 @@
 pub fn object_purge(object: &str, age_us: Micros) -> Event {
     Event::Purged {
         object: Some(object.into()),
-        purge_group: GROUP,
+        purge_group: PURGE_GROUP,
         age_us,
         permanent: false,
     }
@@ -320,7 +320,7 @@
         tenant: None,
         object: object.into(),
         part: 0,
-        purge_group: GROUP,
+        purge_group: PURGE_GROUP,
         size_kb: PART_SIZE_KB,
         remaining_us: CLIENT_TIMEOUT_US,
         is_retry: false,
@@ -338,7 +338,7 @@
     pub server: ServerId,
     /// How a miss is filled.
     pub fill: Fill,
-    /// The time-out of the attempt. `None` if it ends only when the client stops waiting.
+    /// The timeout of the attempt. `None` if it ends only when the client stops waiting.
     pub timeout_us: Option<Micros>,
 }
 
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -99,13 +99,14 @@
         .into_iter()
         .enumerate()
         .map(|(index, name)| {
-            let edge_proxies = list_entry(&family_info.edge_proxies, "seats-by-zone", index)?;
+            let edge_proxy_count =
+                list_entry(&family_info.edge_proxy_counts, "seats-by-zone", index)?;
             let hub = list_entry(&family_info.hub, "attached-to", index)?;
             let link_kb_per_s =
                 list_entry(&family_info.link_kb_per_s, "zone-link-kb-per-s", index)?;
             Ok(routing::Zone {
                 name,
-                edge_proxies: WholeNumber::value_or(edge_proxies, 1) as u32,
+                edge_proxy_count: WholeNumber::value_or(edge_proxy_count, 1) as u32,
                 hub: WholeNumber::value_or(hub, 0) as usize,
                 link_kb_per_s: link_kb_per_s.unwrap_or(0.0),
             })
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -95,7 +95,7 @@
 
     // Lists with one value for each zone.
     #[serde(rename = "seats-by-zone")]
-    pub edge_proxies: IndexedList<WholeNumber>,
+    pub edge_proxy_counts: IndexedList<WholeNumber>,
     #[serde(rename = "attached-to")]
     pub hub: IndexedList<WholeNumber>,
     #[serde(rename = "zone-link-kb-per-s")]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -21,7 +21,7 @@
     assert_eq!(class.dedup_scope, DedupScope::Cell);
     assert_eq!((class.priority_weight, class.late_weight), (1.0, 0.0));
     assert_eq!((class.multipart, class.is_write), (false, false));
-    assert_eq!(settings.zones[0].edge_proxies, 1);
+    assert_eq!(settings.zones[0].edge_proxy_count, 1);
     assert_eq!(settings.own_zone_index, 0);
     assert_eq!(settings.max_attempts, 1);
     assert_eq!(
@@ -68,7 +68,7 @@
     let settings = from_json(&document).unwrap();
     assert_eq!(settings.classes[0].latency_objective_us, 300_000);
     assert_eq!(settings.max_attempts, 4);
-    assert_eq!(settings.zones[0].edge_proxies, 2);
+    assert_eq!(settings.zones[0].edge_proxy_count, 2);
     assert_eq!(settings.parent_kind.as_deref(), Some("parent"));
 }
 
--- a/crates/soak/src/cache_server.rs
+++ b/crates/soak/src/cache_server.rs
@@ -243,7 +243,7 @@
         let mut state = self.state.borrow_mut();
         let is_origin = self.address_index == 0;
         if fetch.class != class::READ {
-            // Requests that are not reads run at the origin.
+            // Requests that are not reads are executed at the origin.
             return (is_origin || fetch.fill_source.is_some()).then_some(CachedCopy {
                 created_unix_ms: now_unix_ms,
                 how: "pulled_far",
--- a/crates/soak/src/client/mod.rs
+++ b/crates/soak/src/client/mod.rs
@@ -233,7 +233,8 @@
                 .await;
             let may_have_raced_close = was_used_before && sent_at.elapsed() < CLOSE_RACE_WINDOW;
             match outcome {
-                // After a kill it is unknown whether the request ran, so it is not sent again.
+                // After a kill it is unknown whether the request was executed, so it is not sent
+                // again.
                 Some(RequestOutcome::ConnectionClosed)
                     if may_have_raced_close
                         && attempt == 0
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -17,7 +17,7 @@
     pub const READ: &str = "photo";
     /// Requests with an idempotency key.
     pub const WITH_IDEMPOTENCY_KEY: &str = "post";
-    /// Requests that must not run twice.
+    /// Requests that must not be executed twice.
     pub const NON_IDEMPOTENT: &str = "payment";
 }
 
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -90,12 +90,15 @@
                 report(
                     Rule::RunOnce,
                     request.sent_ms,
-                    format!("a request that must not run twice ran {executions} times"),
+                    format!(
+                        "a request that must not be executed twice was executed {executions} times"
+                    ),
                 );
             }
             let is_rejected = matches!(request.answer, Some((429 | 503, _)));
             if is_rejected && executions > 0 {
-                let detail = "the request was rejected although it may have run".to_owned();
+                let detail =
+                    "the request was rejected although it may have been executed".to_owned();
                 report(Rule::HonestRejection, request.sent_ms, detail);
             }
         }
--- a/crates/soak/src/violation.rs
+++ b/crates/soak/src/violation.rs
@@ -22,9 +22,9 @@
     ClientLeft,
     /// A server was given more time than the client had left.
     ClientTime,
-    /// A request that must not run twice ran twice.
+    /// A request that must not be executed twice was executed twice.
     RunOnce,
-    /// A request that may have run was rejected as if it had not.
+    /// A request that may have been executed was rejected as if it had not.
     HonestRejection,
     /// A server that had just started got more requests than it can process while warming up.
     SlowStart,
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -12,7 +12,7 @@
 const SENT_MS: u64 = 10_000;
 const BUDGET_MS: u64 = 1_000;
 const OBJECT: u64 = 7;
-const GROUP: u64 = 3;
+const PURGE_GROUP: u64 = 3;
 /// The index of the first cache server.
 const CACHE_SERVER_INDEX: usize = 1;
 
@@ -36,7 +36,7 @@
             proxy: PROXY_INDEX,
             class,
             object: OBJECT,
-            purge_group: GROUP,
+            purge_group: PURGE_GROUP,
             sent_ms: SENT_MS,
             budget_ms: BUDGET_MS,
             cancelled_ms: None,
@@ -108,7 +108,7 @@
 }
 
 // A retry after the server has started to process the request can run a payment twice. A rejection
-// states that the request did not run, so the client may repeat it.
+// states that the request was not executed, so the client may repeat it.
 #[test]
 fn a_non_idempotent_request_may_not_run_twice_or_be_rejected_after_it_ran() {
     let mut run = RecordedRun::with_class(class::NON_IDEMPOTENT);
@@ -118,7 +118,7 @@
     run.request().answer = Some((503, SENT_MS + 30));
     assert_eq!(run.rules(), [Rule::HonestRejection]);
     run.run_state.attempts[0].was_started = false;
-    assert_eq!(run.rules(), [], "the request never ran");
+    assert_eq!(run.rules(), [], "the request was never executed");
 }
 
 // An attempt for a client that is gone wastes the capacity of a server. Arrivals shortly after the
@@ -176,7 +176,7 @@
     let mut run = RecordedRun::new();
     let purge = Purge {
         object: None,
-        purge_group: GROUP,
+        purge_group: PURGE_GROUP,
         purged_unix_ms: 1_000_100,
         event_number: 1,
         published_ms: SENT_MS - 1_000,
@@ -184,7 +184,7 @@
     run.run_state.purges.push(purge);
     run.run_state.deliveries[PROXY_INDEX].push((1, SENT_MS - 900));
     assert_eq!(run.rules(), [Rule::NoPurgedCopy]);
-    run.run_state.purges[0].purge_group = GROUP + 1;
+    run.run_state.purges[0].purge_group = PURGE_GROUP + 1;
     assert_eq!(run.rules(), [], "the purge is for another group");
 
     let mut run = RecordedRun::new();
