--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -1,5 +1,5 @@
 //! The reference time, which corrects the local clock by timestamps from the event bus and the
-//! origin.
+//! origin. The local clock is the clock of the event loop.
 //!
 //! The event bus timestamps purges and server starts with Unix time, and the origin timestamps
 //! copies. The wall clock of this machine may have been wrong by seconds or by an hour when the
--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -254,7 +254,7 @@
             connection.unread_since = Some(since);
             // The connection is read at once. After the grace period it is closed here if it has no
             // request, or else with its answer.
-            self.read_pending_input(now, key);
+            self.read_available_input(now, key);
         }
     }
 
--- a/crates/proxy/src/event_loop/clients/eviction.rs
+++ b/crates/proxy/src/event_loop/clients/eviction.rs
@@ -102,7 +102,7 @@
             let candidate = self
                 .eviction_candidate(now)
                 .ok_or(io::ErrorKind::OutOfMemory)?;
-            self.read_pending_input(now, candidate);
+            self.read_available_input(now, candidate);
             let could_not_be_read = self
                 .connections
                 .get(candidate)
--- a/crates/proxy/src/event_loop/clients/mod.rs
+++ b/crates/proxy/src/event_loop/clients/mod.rs
@@ -182,7 +182,7 @@
             .and_then(|connection| connection.inactivity_deadline(&self.limits));
         if has_expired(deadline) {
             // Input that has arrived by now can still extend the deadline.
-            self.read_pending_input(now, key);
+            self.read_available_input(now, key);
         }
         let Some(connection) = self.connections.get(key) else {
             return;
--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -309,7 +309,7 @@
         };
         connection.retry_scheduled = false;
         self.update_poll_interest(now, key);
-        self.read_pending_input(now, key);
+        self.read_available_input(now, key);
     }
 
     /// Closes a connection from this side. A client connection gets a lingering close, because
--- a/crates/proxy/src/event_loop/readiness.rs
+++ b/crates/proxy/src/event_loop/readiness.rs
@@ -62,7 +62,7 @@
 
     /// Reads and handles what a connection has received so far, even if the poller has not yet
     /// reported it.
-    pub(super) fn read_pending_input(&mut self, now: Micros, key: SlabKey) {
+    pub(super) fn read_available_input(&mut self, now: Micros, key: SlabKey) {
         self.handle_readiness(now, key, Readiness::readable(key.to_u64()));
         self.execute_commands(now);
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Writes the pending output of a connection.
+    /// Writes the buffered output of a connection.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/event_loop/shutdown.rs
+++ b/crates/proxy/src/event_loop/shutdown.rs
@@ -78,7 +78,7 @@
             .collect();
         // Input that has arrived by now was sent within the grace period.
         for key in &clients {
-            self.read_pending_input(now, *key);
+            self.read_available_input(now, *key);
         }
         self.shutdown = Shutdown::GraceOver;
         log::info!("shutdown grace period is over: rejecting further requests");
--- a/crates/proxy/src/event_loop/upstreams/parked.rs
+++ b/crates/proxy/src/event_loop/upstreams/parked.rs
@@ -80,8 +80,8 @@
         is_parked
     }
 
-    /// Withdraws the parked attempts that would be sent to a server that is draining or gone, or
-    /// for which another server would fill from it.
+    /// Removes the parked attempts that would be sent to a server that is draining or gone, or for
+    /// which another server would fill from it.
     pub(super) fn drain_parked_attempts(&mut self, now: Micros, server: ServerId) {
         let is_filled_from = |attempt: AttemptId| {
             let fill = self
@@ -90,7 +90,7 @@
                 .and_then(|(_, spec)| spec.fill);
             fill.is_some_and(|fill| fill.source == server)
         };
-        let withdrawn: Vec<AttemptId> = self
+        let removed: Vec<AttemptId> = self
             .upstream_connections
             .parked
             .attempts
@@ -98,7 +98,7 @@
             .filter(|parked| parked.server == server || is_filled_from(parked.attempt))
             .map(|parked| parked.attempt)
             .collect();
-        for attempt in withdrawn {
+        for attempt in removed {
             self.upstream_connections.parked.remove(attempt);
             self.request_table
                 .attempt_ended(now, attempt, Outcome::NotSent.into());
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -106,9 +106,9 @@
     /// Connections to one cache server.
     pub connections_per_server: usize,
     /// A further connection to a cache server is opened once its least used connection has this
-    /// many attempts in flight.
+    /// many outstanding attempts, which are queued or in flight.
     pub attempts_before_new_connection: usize,
-    /// Attempts in flight on one connection.
+    /// Outstanding attempts on one connection.
     pub attempts_per_connection: usize,
     /// An outgoing connection of any kind must be established within this time. Only a connection
     /// to the event bus stays open for longer, in parallel with a new one.
@@ -131,7 +131,7 @@
     pub unawaited_answer_timeout_us: Micros,
     /// A cancelled attempt counts as ended this long after the cancellation was written, because
     /// the cancellation takes time to arrive.
-    pub cancel_settle_delay_us: Micros,
+    pub cancellation_report_delay_us: Micros,
     /// The id of a cancelled or answered attempt is remembered on its connection for this long, to
     /// recognise a late answer.
     pub stream_retention_us: Micros,
@@ -268,7 +268,7 @@
     answer_body_bytes: 512 * KIB,
     partial_answer_timeout_us: 150 * MILLISECOND,
     unawaited_answer_timeout_us: SECOND,
-    cancel_settle_delay_us: 5 * MILLISECOND,
+    cancellation_report_delay_us: 5 * MILLISECOND,
     stream_retention_us: 5 * SECOND,
 
     endpoint_list_bytes: MIB,
--- a/crates/proxy/src/request_table/servers.rs
+++ b/crates/proxy/src/request_table/servers.rs
@@ -17,8 +17,8 @@
     pub address: SocketAddr,
 }
 
-/// Returns the number of a server: the FNV-1a hash (64 bits) of its wire id. The number is the same
-/// at every proxy, because the router computes its order of servers from it.
+/// Returns the router's id of a server: the FNV-1a hash (64 bits) of its wire id. The id is the
+/// same at every proxy, because the router computes its order of servers from it.
 pub fn server_id(wire_id: &str) -> ServerId {
     let mut hasher = FnvHasher::default();
     hasher.write(wire_id.as_bytes());
--- a/crates/proxy/src/request_table/tests.rs
+++ b/crates/proxy/src/request_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of single parts of the request table: server numbers, traces, the log rate limit, and
+//! Tests of single parts of the request table: server ids, traces, the log rate limit, and
 //! permanent purges.
 
 use super::purges::{PermanentPurges, PurgeTarget};
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_number_of_a_server_is_the_published_fnv_1a_hash_of_its_id() {
+fn the_router_id_of_a_server_is_the_published_fnv_1a_hash_of_its_wire_id() {
     assert_eq!(server_id(""), 0xcbf2_9ce4_8422_2325);
     assert_eq!(server_id("a"), 0xaf63_dc4c_8601_ec8c);
     assert_eq!(server_id("foobar"), 0x8594_4171_f739_67e8);
--- a/crates/proxy/src/request_table/trace.rs
+++ b/crates/proxy/src/request_table/trace.rs
@@ -107,7 +107,7 @@
 
     /// Returns the whole trace as one line, with times in milliseconds since the admission.
     /// `wire_id_of` returns the wire id of a server that is still listed; any other server is shown
-    /// by its number.
+    /// by its router id.
     pub fn to_log_line<'a>(&self, wire_id_of: impl Fn(ServerId) -> Option<&'a str>) -> String {
         let mut line = String::new();
         if let Some(end) = self.end {
--- a/crates/proxy/src/upstream/cancel.rs
+++ b/crates/proxy/src/upstream/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels single attempts, and withdraws all attempts that involve a server.
+//! Cancels single attempts, and removes all unwritten attempts that involve a server.
 
 use super::command;
 use super::stream::Stream;
@@ -78,7 +78,7 @@
             .values()
             .filter_map(Stream::abort_written_at)
             .min();
-        earliest.map(|abort_written_at| abort_written_at + limits.cancel_settle_delay_us)
+        earliest.map(|abort_written_at| abort_written_at + limits.cancellation_report_delay_us)
     }
 
     /// Removes the attempts of which no byte is written and which would be sent to `server` or
@@ -99,11 +99,11 @@
             destination == server || fill.is_some_and(|fill| fill.source == server)
         };
         self.queue.retain(|attempt| {
-            let withdrawn = involves_server(*attempt);
-            if withdrawn {
+            let removed = involves_server(*attempt);
+            if removed {
                 events.push(UpstreamEvent::attempt_ended(*attempt, Outcome::NotSent));
             }
-            !withdrawn
+            !removed
         });
         let Some(unwritten) = self.unwritten_attempt(socket) else {
             return true;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -83,7 +83,7 @@
     }
 
     /// Queues an attempt. `flush` writes the attempt once the connection is established and its
-    /// output buffer is empty. An attempt that is cancelled or withdrawn before that never reaches
+    /// output buffer is empty. An attempt that is cancelled or removed before that never reaches
     /// the server.
     pub fn enqueue(&mut self, attempt: AttemptId) {
         self.queue.push_back(attempt);
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -57,7 +57,7 @@
     }
 
     /// Starts queued attempts one at a time, as long as the socket accepts each completely. An
-    /// attempt in the queue can still be cancelled or withdrawn, while an attempt in the output
+    /// attempt in the queue can still be cancelled or removed, while an attempt in the output
     /// buffer has started.
     fn start_queued(
         &mut self,
@@ -113,16 +113,16 @@
         true
     }
 
-    /// Reports cancellations whose `abort` was written at least `Limits::cancel_settle_delay_us`
-    /// ago. The `abort` needs that time to arrive: a further attempt at a nearer server must not
-    /// overtake it.
+    /// Reports cancellations whose `abort` was written at least
+    /// `Limits::cancellation_report_delay_us` ago. The `abort` needs that time to arrive: a further
+    /// attempt at a nearer server must not overtake it.
     fn report_due_cancellations(
         &mut self,
         context: &WriteContext,
         bytes_written: u64,
         events: &mut Vec<UpstreamEvent>,
     ) {
-        let report_delay_us = context.limits.cancel_settle_delay_us;
+        let report_delay_us = context.limits.cancellation_report_delay_us;
         for stream in self.streams.values_mut() {
             let due = stream.take_due_cancellation(context.now, bytes_written, report_delay_us);
             events.extend(
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -403,9 +403,9 @@
     assert!(admit(&mut request_table, 1, with_key).is_ok());
 }
 
-/// Attempts queued for a draining server must be withdrawn before any other command can send them.
+/// Attempts queued for a draining server must be removed before any other command can send them.
 #[test]
-fn withdrawal_from_a_draining_server_is_the_first_command() {
+fn draining_a_server_is_the_first_command() {
     let mut request_table = new_table(&limits());
     let draining = vec![cache_server("a", EndpointState::Draining)];
     request_table.update_endpoints(NOW_US, EndpointListMode::Delta, draining);
@@ -418,7 +418,7 @@
 /// A snapshot lists all servers. Servers that are missing from it must be forgotten, or the table
 /// would grow with every new server id.
 #[test]
-fn a_server_missing_from_a_snapshot_is_withdrawn_and_forgotten() {
+fn a_server_missing_from_a_snapshot_is_drained_and_forgotten() {
     let mut request_table = new_table(&limits());
     let without_b = vec![cache_server("a", EndpointState::Draining)];
     request_table.update_endpoints(NOW_US, EndpointListMode::Snapshot, without_b);
--- a/crates/proxy/tests/support/upstream.rs
+++ b/crates/proxy/tests/support/upstream.rs
@@ -180,7 +180,7 @@
     pub fn cancel_and_settle(&mut self, attempt: AttemptId) {
         assert!(self.cancel(attempt));
         self.flush();
-        self.now += self.limits.cancel_settle_delay_us;
+        self.now += self.limits.cancellation_report_delay_us;
         self.flush();
     }
 
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers: how attempts end when they are cancelled or withdrawn, when an
+//! Connections to cache servers: how attempts end when they are cancelled or removed, when an
 //! answer is late, older than a purge or partial, and when the connection closes.
 
 #[path = "support/upstream.rs"]
@@ -116,7 +116,7 @@
     fixture.flush();
     // The abort is written, but a further attempt at another server could overtake it.
     assert_eq!(fixture.take_attempt_ends(), []);
-    let report_at = START_US + fixture.limits.cancel_settle_delay_us;
+    let report_at = START_US + fixture.limits.cancellation_report_delay_us;
     assert_eq!(
         fixture
             .connection
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -311,7 +311,7 @@
         });
     }
 
-    /// Records that no connection to a server could be made.
+    /// Records that no connection to a server could be established.
     pub(crate) fn record_connection_failure(&mut self, id: ServerId) {
         self.modify(id, |server| server.unreachable = true);
     }
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -269,7 +269,7 @@
             let old = run_state.server_at_address(address_index);
             let now_ms = run_state.now_ms();
             run_state.servers[old].state = "draining";
-            run_state.servers[old].withdrawn = Some((now_ms, run_state.events.len() + 1));
+            run_state.servers[old].drained = Some((now_ms, run_state.events.len() + 1));
             run_state.publish_endpoint_entries(&[old]);
             old
         };
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -177,14 +177,14 @@
             report(Rule::ClientTime, at_ms, detail);
         }
         for (index, server) in self.run_state.servers.iter().enumerate() {
-            let Some((withdrawn_ms, event_number)) = server.withdrawn else {
+            let Some((drained_ms, event_number)) = server.drained else {
                 continue;
             };
             let is_fill_source = attempt.fill_source.as_deref() == Some(server.uid.as_str());
             if attempt.server_index != index && !is_fill_source {
                 continue;
             }
-            let delivery_ms = self.delivery_ms(request.proxy, event_number, withdrawn_ms);
+            let delivery_ms = self.delivery_ms(request.proxy, event_number, drained_ms);
             if at_ms > delivery_ms + DRAIN_GRACE_MS + MEASUREMENT_SLACK_MS {
                 let detail = format!(
                     "an attempt used server {} {} ms after the proxy had learned that the \
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -64,7 +64,7 @@
     pub address_index: usize,
     /// When the server's list entry changed to draining or gone, in milliseconds of the run, and
     /// the number of that event on the bus. `None` while the server is ready.
-    pub withdrawn: Option<(u64, usize)>,
+    pub drained: Option<(u64, usize)>,
     /// When the server's process started and was published, in milliseconds of the run, and the
     /// number of that event on the bus. `None` for a server that was already warm when the run
     /// began.
@@ -230,7 +230,7 @@
         self.servers.push(Server {
             uid,
             address_index,
-            withdrawn: None,
+            drained: None,
             started,
             state: "ready",
         });
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -152,7 +152,7 @@
 fn an_attempt_at_a_draining_server_or_with_a_draining_fill_source_is_a_violation() {
     const EVENT_NUMBER: usize = 1;
     let mut run = RecordedRun::new();
-    run.run_state.servers[CACHE_SERVER_INDEX].withdrawn = Some((SENT_MS - 1_000, EVENT_NUMBER));
+    run.run_state.servers[CACHE_SERVER_INDEX].drained = Some((SENT_MS - 1_000, EVENT_NUMBER));
     assert_eq!(
         run.rules(),
         [],
@@ -165,7 +165,7 @@
 
     let mut run = RecordedRun::new();
     let fill_source = run.run_state.servers[2].uid.clone();
-    run.run_state.servers[2].withdrawn = Some((SENT_MS - 1_000, EVENT_NUMBER));
+    run.run_state.servers[2].drained = Some((SENT_MS - 1_000, EVENT_NUMBER));
     run.run_state.deliveries[PROXY_INDEX].push((EVENT_NUMBER, SENT_MS - 900));
     run.run_state.attempts[0].fill_source = Some(fill_source);
     assert_eq!(run.rules(), [Rule::Drain]);
