--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -33,8 +33,8 @@
     /// [`Settings::parent_kind`](crate::Settings::parent_kind), the origin if it is
     /// [`Settings::origin_kind`](crate::Settings::origin_kind), otherwise a cache server.
     pub kind: String,
-    /// The server's capacity; see
-    /// [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities).
+    /// The capacity of the server's link in transfers at full rate. Not used unless
+    /// [`Settings::weights_are_capacities`](crate::Settings::weights_are_capacities) is set.
     pub weight: f64,
     /// The server's lifecycle state.
     pub state: EndpointState,
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -40,8 +40,8 @@
     pub published_ms: u64,
 }
 
-/// A purge that a proxy accepted through its interconnect. Only this proxy knows of it, so the
-/// proxy has to persist it.
+/// A purge that a proxy accepted through its interconnect. The proxies of a run do not
+/// exchange purges, so only this proxy knows of the purge and has to persist it.
 #[derive(Clone, Debug)]
 pub struct InterconnectPurge {
     /// The index of the proxy.
@@ -73,7 +73,7 @@
     pub state: &'static str,
 }
 
-/// A request of an ordinary client.
+/// A request of a client that follows the protocol, unlike those in [`crate::bad_client`].
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// The index of the proxy that got the request.
@@ -119,10 +119,10 @@
     pub was_started: bool,
 }
 
-/// Totals of one run, or of all runs of a campaign.
+/// Totals of one run, or of all runs of a campaign, which is a range of seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Requests of ordinary clients.
+    /// Requests of clients that follow the protocol.
     pub requests: u64,
     /// Requests that were answered with status 200.
     pub served: u64,
@@ -142,7 +142,8 @@
     pub purges: u64,
     /// Purges that proxies accepted through their interconnect.
     pub interconnect_purges: u64,
-    /// Times at which the machine stalled the run for too long, so that timing was not judged.
+    /// How often this test program was not scheduled in time. Attempts and refused requests around
+    /// these moments are not judged by their timing.
     pub harness_stalls: u64,
 }
 
@@ -150,7 +151,8 @@
 pub struct RunState {
     /// The plan of the run.
     pub plan: Plan,
-    /// The slot of the campaign, which determines the addresses of the run.
+    /// The number of the run's slot, which is a set of loopback addresses that no other run uses at
+    /// the same time.
     pub slot: u8,
     start: Instant,
     start_unix_ms: u64,
@@ -171,7 +173,8 @@
     /// Processes that were killed or that aborted as planned: the index of the proxy, and when, in
     /// milliseconds of the run.
     pub abrupt_exits: Vec<(usize, u64)>,
-    /// When the run itself was stalled, in milliseconds of the run.
+    /// When this test program was found not to have been scheduled in time, in milliseconds of the
+    /// run.
     pub harness_stalls_ms: Vec<u64>,
     /// The violations that were reported during the run.
     pub violations: Vec<Violation>,
@@ -222,8 +225,8 @@
         self.start_unix_ms + self.now_ms()
     }
 
-    /// Adds a server at an address and returns its index. The endpoint list does not show it until
-    /// its entry is published.
+    /// Adds a server at an address and returns its index. `started` becomes [`Server::started`].
+    /// Running proxies learn of the server when its entry of the endpoint list is published.
     pub fn add_server(&mut self, address_index: usize, started: Option<(u64, usize)>) -> usize {
         let uid = format!("s-{:08x}", self.next_uid_number);
         self.next_uid_number += 1;
@@ -321,7 +324,7 @@
         self.publish(json!({ "ban": ban }));
     }
 
-    /// Returns the events that the configuration of a proxy contains if the proxy starts now: the
+    /// Returns the events for the configuration file of a proxy that starts or reloads now: the
     /// whole endpoint list, and the purges that cache servers may not have completed yet.
     pub fn known_events(&self) -> Value {
         let targets: Vec<Value> = (0..self.servers.len())
@@ -338,6 +341,7 @@
                 event.published_ms + crate::deployment::PURGE_COMPLETION_MS >= now_ms;
             if is_purge_in_progress && !event.event["ban"].is_null() {
                 let mut event = event.event.clone();
+                // Every event of the configuration has the number of the last published event.
                 event["offset"] = json!(offset);
                 batch.push(event);
             }
@@ -363,13 +367,14 @@
         self.violations.push(violation);
     }
 
-    /// Returns whether the run itself was stalled within 500 ms of an interval. Timing in that
-    /// interval can't be judged.
+    /// Returns whether this test program was not scheduled in time at some moment of an interval or
+    /// within 500 ms of it. Attempts and refused requests in such an interval are not judged by
+    /// their timing.
     pub fn was_harness_stalled(&self, from_ms: u64, until_ms: u64) -> bool {
-        let judged_window = from_ms.saturating_sub(500)..=until_ms + 500;
+        let widened_interval = from_ms.saturating_sub(500)..=until_ms + 500;
         self.harness_stalls_ms
             .iter()
-            .any(|at_ms| judged_window.contains(at_ms))
+            .any(|at_ms| widened_interval.contains(at_ms))
     }
 }
 
