--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -256,7 +256,7 @@
             connection.unread_since = Some(since);
             // The connection is read at once. After the grace period it is closed here if it
             // carries no request, and otherwise once its requests are answered.
-            self.read_pending_input(now, key);
+            self.read_available_input(now, key);
         }
     }
 
--- a/crates/proxy/src/event_loop/close_reason.rs
+++ b/crates/proxy/src/event_loop/close_reason.rs
@@ -43,7 +43,7 @@
     EventBusAddressChanged,
     /// The event bus has sent nothing for too long.
     EventBusSilent,
-    /// Another connection to the event bus was answered first.
+    /// The event bus responded on another connection first.
     EventBusSuperseded,
     /// The response for which the connection was opened has not arrived in time.
     ResponseTimeout,
@@ -51,7 +51,7 @@
 
 impl CloseReason {
     /// Returns whether the peer has closed the connection or made it unusable. Such a peer need not
-    /// get answers to its open requests.
+    /// get answers to its unanswered requests.
     pub(super) fn is_caused_by_peer(self) -> bool {
         matches!(
             self,
@@ -83,7 +83,9 @@
             CloseReason::UpstreamUnresponsive => "the cache server is unresponsive",
             CloseReason::EventBusAddressChanged => "the address of the event bus has changed",
             CloseReason::EventBusSilent => "the event bus has sent nothing for too long",
-            CloseReason::EventBusSuperseded => "the event bus answered on another connection first",
+            CloseReason::EventBusSuperseded => {
+                "the event bus responded on another connection first"
+            }
             CloseReason::ResponseTimeout => "response timeout",
         })
     }
--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -234,7 +234,7 @@
     }
 
     /// Closes an outgoing connection that was not established within the connect timeout. A
-    /// connection to the event bus is kept open instead, beside a new one.
+    /// connection to the event bus is kept open instead, in addition to a new one.
     pub(super) fn handle_connect_timeout(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
@@ -309,7 +309,7 @@
         };
         connection.retry_scheduled = false;
         self.update_poll_interest(now, key);
-        self.read_pending_input(now, key);
+        self.read_available_input(now, key);
     }
 
     /// Closes a connection from this side. A client connection gets a lingering close, because
--- a/crates/proxy/src/event_loop/interconnect.rs
+++ b/crates/proxy/src/event_loop/interconnect.rs
@@ -12,11 +12,11 @@
 use crate::net::{IoProgress, SlabKey};
 use crate::protocol::http::Message;
 use crate::protocol::ProtocolError;
-use crate::request_table::{Answer, ClientRequest, ResponseTarget};
+use crate::request_table::{Answer, AnswerTarget, ClientRequest};
 use edge_routing::Micros;
 
 /// Stream number of every interconnect request. One number is enough because each connection has at
-/// most one open request.
+/// most one unanswered request.
 const SINGLE_STREAM: u32 = 0;
 
 /// State of the interconnection with peer CDNs.
@@ -117,7 +117,7 @@
             return;
         };
         session.client_deadline = now + request.remaining_us;
-        let target = ResponseTarget {
+        let target = AnswerTarget {
             connection: key,
             stream: SINGLE_STREAM,
         };
@@ -143,10 +143,10 @@
     /// purge that is in force but could not be written to the purge log.
     fn apply_effect(&mut self, now: Micros, effect: Effect) -> bool {
         match effect {
-            Effect::Purge(object, group) => {
+            Effect::Purge(object, purge_group) => {
                 let purge = Purge {
                     object,
-                    group,
+                    purge_group,
                     purged_at: now,
                 };
                 if let Some(datagram) = gossip::encode(&purge) {
@@ -162,12 +162,7 @@
     }
 
     /// Sends an interconnect client the final answer to its request.
-    pub(super) fn respond_to_interconnect_client(
-        &mut self,
-        now: Micros,
-        key: SlabKey,
-        answer: Answer,
-    ) {
+    pub(super) fn answer_interconnect_client(&mut self, now: Micros, key: SlabKey, answer: Answer) {
         let Some((_, session)) = self.connections.interconnect_client_mut(key) else {
             return;
         };
--- a/crates/proxy/src/event_loop/startup.rs
+++ b/crates/proxy/src/event_loop/startup.rs
@@ -76,11 +76,11 @@
 /// Returns a permanent error at once, and a transient error once the retries have taken
 /// `STARTUP_RETRY_TIMEOUT`.
 pub(crate) fn retry_startup_step<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + STARTUP_RETRY_TIMEOUT;
+    let retry_deadline = Instant::now() + STARTUP_RETRY_TIMEOUT;
     loop {
         match step() {
             Err(error)
-                if errors::is_transient_at_startup(&error) && Instant::now() < give_up_at =>
+                if errors::is_transient_at_startup(&error) && Instant::now() < retry_deadline =>
             {
                 log::warn!(
                     "startup step failed, retrying in {} ms: {error}",
@@ -185,10 +185,10 @@
             .and_then(|interconnect| interconnect.purge_log.as_ref());
         let stored_purges = purge_log.map(PurgeLog::purges).unwrap_or_default();
         for purge in stored_purges {
-            // The purge is dated `now`, so that it covers every copy made before this start. The
+            // The purge is dated `now`, so that it covers every copy created before this start. The
             // stored time comes from a clock that may have been wrong.
             self.request_table
-                .purge_permanently(now, purge.object, purge.group, now);
+                .purge_permanently(now, purge.object, purge.purge_group, now);
         }
         for event in events {
             self.apply_event_bus_message(now, event);
--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -171,7 +171,7 @@
             part: self
                 .number(Parameter::Part, 0, limits.max_part_number)?
                 .unwrap_or(0),
-            group: self.number(Parameter::Group, 0, MAX_GROUP)?.unwrap_or(0),
+            purge_group: self.number(Parameter::Group, 0, MAX_GROUP)?.unwrap_or(0),
             size_kb: self.size_kb(limits.max_part_size_kb)?,
             remaining_us: self.remaining_us(limits)?,
             idempotency_key: self.hexadecimal(Parameter::IdempotencyKey, IDEMPOTENCY_KEY_DIGITS)?,
--- a/crates/proxy/src/request_table/request.rs
+++ b/crates/proxy/src/request_table/request.rs
@@ -12,7 +12,7 @@
 /// The destination of a final answer: a client connection of a frontend, and the request's number
 /// on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ResponseTarget {
+pub struct AnswerTarget {
     /// Key of the client connection.
     pub connection: SlabKey,
     /// Number that the frontend gave the request on that connection.
@@ -31,7 +31,7 @@
     /// Number of the part within the object.
     pub part: u64,
     /// The object's purge group, which can be purged as a whole.
-    pub group: u64,
+    pub purge_group: u64,
     /// Size of the part in KB. 0 means that the size is unknown.
     pub size_kb: f64,
     /// How much longer the client waits, in microseconds. On admission, the table subtracts the
@@ -55,7 +55,7 @@
             tenant: None,
             object: self.object.clone(),
             part: self.part,
-            group: self.group,
+            purge_group: self.purge_group,
             size_kb: self.size_kb,
             remaining_us: self.remaining_us,
             is_retry: false,
@@ -82,50 +82,50 @@
 pub enum Answer {
     /// A cache server, a parent or the origin served the request.
     Served(Content),
-    /// The request was rejected before anything ran, so a retry by the client does no harm.
+    /// The request was rejected before anything was executed, so a retry by the client does no
+    /// harm.
     Rejected {
         /// How long to wait before a retry, in microseconds. `None` gives no advice.
         retry_after_us: Option<Micros>,
     },
-    /// The request failed. A write may have run.
+    /// The request failed. A write may have been executed.
     Failed,
 }
 
-/// A request from its admission until it is settled and has no attempt in flight.
+/// A request in the table, with its attempt in flight.
 ///
-/// A request is settled once its final answer is given or its client has disconnected.
+/// A request is *unsettled* until its final answer is given or its client has disconnected, and
+/// *settled* from then on. It is *pending* from its admission until it is settled and has no
+/// attempt in flight. A client connection counts its *unanswered* requests, which have no final
+/// answer yet.
 ///
 /// Invariants:
-/// - Exactly one final answer: the response target is held from the admission on and is released
-///   only by `settle`, once. No answer can be given without it, so no later event can cause a
-///   second answer.
+/// - Exactly one final answer: the answer target is held from the admission on and is released only
+///   by `settle`, once. No answer can be given without it, so no later event can cause a second
+///   answer.
 /// - At most one attempt is in flight.
 pub(super) struct PendingRequest {
     /// Where the final answer goes. `None` once the request is settled.
-    response_target: Option<ResponseTarget>,
+    answer_target: Option<AnswerTarget>,
     pub(super) request: ClientRequest,
     /// When the client stops waiting, less the time that an answer needs to arrive.
     pub(super) deadline: Micros,
     /// Number of attempts started so far, which is the number of the next attempt.
     attempts_started: u32,
-    /// Whether any attempt ended in a way that does not prove that the request never ran.
-    may_have_run: bool,
+    /// Whether any attempt ended in a way that does not rule out that the request was executed.
+    may_have_executed: bool,
     pub(super) in_flight: Option<InFlightAttempt>,
     pub(super) trace: RequestTrace,
 }
 
 impl PendingRequest {
-    pub(super) fn new(
-        now: Micros,
-        response_target: ResponseTarget,
-        request: ClientRequest,
-    ) -> Self {
+    pub(super) fn new(now: Micros, answer_target: AnswerTarget, request: ClientRequest) -> Self {
         PendingRequest {
-            response_target: Some(response_target),
+            answer_target: Some(answer_target),
             deadline: now + request.remaining_us,
             request,
             attempts_started: 0,
-            may_have_run: false,
+            may_have_executed: false,
             in_flight: None,
             trace: RequestTrace::new(now),
         }
@@ -134,7 +134,7 @@
     /// Returns whether the final answer is given, or no answer is needed because the client
     /// disconnected.
     pub(super) fn is_settled(&self) -> bool {
-        self.response_target.is_none()
+        self.answer_target.is_none()
     }
 
     /// Returns whether the request is settled and has no attempt in flight, so that it can be
@@ -145,20 +145,20 @@
 
     /// Settles the request and returns where its answer goes. Returns `None` if the request was
     /// already settled.
-    pub(super) fn settle(&mut self, now: Micros, ending: RequestEnding) -> Option<ResponseTarget> {
-        let target = self.response_target.take()?;
+    pub(super) fn settle(&mut self, now: Micros, ending: RequestEnding) -> Option<AnswerTarget> {
+        let target = self.answer_target.take()?;
         self.trace.end(now, ending);
         Some(target)
     }
 
     /// Records how an attempt ended, which decides whether the request may be retried.
     pub(super) fn record_outcome(&mut self, outcome: Outcome) {
-        self.may_have_run |= !outcome.never_ran();
+        self.may_have_executed |= !outcome.rules_out_execution();
     }
 
     /// Returns whether the request may have taken effect, or may still do so.
-    pub(super) fn may_have_run(&self) -> bool {
-        self.may_have_run || self.in_flight.is_some()
+    pub(super) fn may_have_executed(&self) -> bool {
+        self.may_have_executed || self.in_flight.is_some()
     }
 
     /// Starts the next attempt and records it as in flight. The deadline of the attempt is never
--- a/crates/proxy/src/request_table/settlement.rs
+++ b/crates/proxy/src/request_table/settlement.rs
@@ -31,7 +31,7 @@
             RequestEnding::from(&answer)
         );
         self.counters.count_answer(&answer);
-        self.commands.push(Command::Respond(target, answer));
+        self.commands.push(Command::SendAnswer(target, answer));
     }
 
     /// Frees the slot of a request if it is settled and has no attempt in flight, and logs its
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -57,7 +57,7 @@
     }
 
     /// Starts queued attempts one at a time, as long as the socket accepts each completely. An
-    /// attempt in the queue can still be removed, while an attempt in the output
+    /// attempt in the queue can still be cancelled or removed, while an attempt in the output
     /// buffer has started.
     fn start_queued(
         &mut self,
--- a/crates/proxy/tests/purge_log.rs
+++ b/crates/proxy/tests/purge_log.rs
@@ -18,21 +18,21 @@
 fn object(object: &str, purged_at: u64) -> Purge {
     Purge {
         object: Some(object.into()),
-        group: 0,
+        purge_group: 0,
         purged_at,
     }
 }
 
 /// Returns a purge of a purge group at a Unix time in microseconds.
-fn group(group: u64, purged_at: u64) -> Purge {
+fn group(purge_group: u64, purged_at: u64) -> Purge {
     Purge {
         object: None,
-        group,
+        purge_group,
         purged_at,
     }
 }
 
-/// A crash may truncate the last line, which must not spoil the others or lines added later.
+/// A crash may truncate the last line. The other lines and lines added later must stay readable.
 /// Repeated purges of the same targets must not make the file grow without bound.
 #[test]
 fn added_purges_are_read_back_after_a_crash_and_the_file_stays_short() {
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers: how attempts end when they are cancelled or withdrawn, when an
+//! Connections to cache servers: how attempts end when they are cancelled or removed, when an
 //! answer is late, older than a purge or partial, and when the connection closes.
 
 #[path = "support/upstream.rs"]
@@ -13,8 +13,8 @@
 /// First part of a long answer under the id `01`.
 const PARTIAL_ANSWER: &[u8] = b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$9000\r\nbut no mo";
 
-/// A written attempt may have run at the server, a queued one cannot have. The router decides from
-/// this difference whether the request may be retried.
+/// A written attempt may have been executed at the server, a queued one cannot have. The router
+/// decides from this difference whether the request may be retried.
 #[test]
 fn closing_reports_written_attempts_as_reset_and_queued_ones_as_never_sent() {
     let mut fixture = Fixture::connected();
@@ -35,7 +35,7 @@
 }
 
 /// The server cannot run a command that it received only in part. Reporting it as reset would rule
-/// out the retry of a request that must not run twice.
+/// out the retry of a request that must not be executed twice.
 #[test]
 fn closing_reports_an_attempt_written_in_part_as_never_sent() {
     let mut fixture = Fixture::connected();
@@ -107,7 +107,7 @@
 }
 
 /// The router may start a further attempt as soon as a cancellation is reported. If that attempt
-/// reached another server before the abort arrived, both attempts would run at once.
+/// reached another server before the abort arrived, both attempts would be executed at once.
 #[test]
 fn a_cancellation_is_reported_once_the_abort_has_had_time_to_arrive() {
     let mut fixture = Fixture::connected();
@@ -123,7 +123,7 @@
             .next_cancellation_report_at(&fixture.limits),
         Some(report_at)
     );
-    assert_eq!(fixture.load_if_available("01"), None);
+    assert_eq!(fixture.outstanding_count_if_available("01"), None);
     fixture.now = report_at;
     fixture.flush();
     assert_eq!(
@@ -140,7 +140,7 @@
     let attempt = fixture.send("01");
     fixture.cancel_and_settle(attempt);
     assert!(fixture.connection.has_recent_cancellation("01"));
-    assert!(fixture.load_if_available("01").is_some());
+    assert!(fixture.outstanding_count_if_available("01").is_some());
     let forgotten_at = START_US + fixture.limits.stream_retention_us + 1;
     fixture
         .connection
@@ -226,17 +226,22 @@
 fn an_unresponsive_connection_takes_no_further_attempts() {
     let mut fixture = Fixture::connected();
     let attempt = fixture.send("01");
-    assert_eq!(fixture.load_if_available("02"), Some(1));
+    assert_eq!(fixture.outstanding_count_if_available("02"), Some(1));
     // Nothing has arrived from the server since before the attempt. A short silence is a pause. A
     // long one may mean that the server no longer reaches the proxy.
     let longest_pause_us = fixture.limits.unresponsive_after_us;
-    for (silence_us, load) in [(longest_pause_us, Some(0)), (longest_pause_us + 1, None)] {
+    for (silence_us, outstanding_count) in
+        [(longest_pause_us, Some(0)), (longest_pause_us + 1, None)]
+    {
         let begun_at = START_US - silence_us;
         fixture.connection = UpstreamConnection::new(fixture.server, &fixture.limits, begun_at);
         fixture.connection.enqueue(attempt);
         fixture.flush();
         fixture.cancel_and_settle(attempt);
-        assert_eq!(fixture.load_if_available("02"), load);
+        assert_eq!(
+            fixture.outstanding_count_if_available("02"),
+            outstanding_count
+        );
     }
 }
 
@@ -246,16 +251,16 @@
 fn requests_with_one_id_never_share_a_connection() {
     for mut fixture in [Fixture::connected(), Fixture::connecting()] {
         fixture.send("01");
-        let connected = fixture.socket.is_connected;
+        let is_connected = fixture.socket.is_connected;
         assert_eq!(
-            fixture.load_if_available("01"),
+            fixture.outstanding_count_if_available("01"),
             None,
-            "a second request with the same id was accepted, connected: {connected}"
+            "a second request with the same id was accepted, connected: {is_connected}"
         );
         assert_eq!(
-            fixture.load_if_available("02"),
+            fixture.outstanding_count_if_available("02"),
             Some(1),
-            "connected: {connected}"
+            "connected: {is_connected}"
         );
     }
 }
@@ -276,7 +281,7 @@
     fixture.now = deadline - 1;
     assert!(
         fixture.flush(),
-        "the connection was given up before the timeout of the partial answer"
+        "the connection was closed before the timeout of the partial answer"
     );
     fixture.now = deadline;
     assert!(
@@ -399,7 +404,7 @@
     ] {
         let mut fixture = Fixture::connecting();
         fixture.send_request(ClientRequest {
-            group: 7,
+            purge_group: 7,
             ..photo_request("01")
         });
         fixture.now += 400_000;
--- a/crates/routing/src/policy/replication.rs
+++ b/crates/routing/src/policy/replication.rs
@@ -1,5 +1,5 @@
-//! Replication: how many caches hold copies of an object, which cache receives a request, and which
-//! source fills a miss.
+//! Replication: how many cache servers hold copies of an object, which of them receives a request,
+//! and which source fills a miss.
 
 use super::Router;
 use crate::settings::{DedupScope, Micros, PeerFill};
@@ -44,8 +44,9 @@
         self.pick_cache().or_else(|| self.pick_last_resort())
     }
 
-    /// Returns how many caches should hold a copy of the object. The object's share of the caches
-    /// equals its share of all recent requests. The number is rounded up and is at least one.
+    /// Returns how many cache servers should hold a copy of the object. The object's share of the
+    /// cache servers equals its share of all recent requests. The number is rounded up and is at
+    /// least one.
     fn copy_count(&self) -> usize {
         let total_requests = self.router.popularity.total_requests(self.now);
         let share = self.request.object_request_count / total_requests.max(MIN_TOTAL_REQUEST_COUNT);
@@ -53,14 +54,15 @@
         copy_count.ceil().max(1.0) as usize
     }
 
-    /// Picks a cache uniformly at random among the usable ones that should hold a copy. If there
-    /// is none, picks the next usable cache in the rendezvous order. A cache is usable if it has
-    /// not failed the request, is available, may receive the request by the rules and is expected
-    /// to answer in time. Returns None if no cache is usable, or if the request needs a fill and
-    /// there is no fill source.
+    /// Picks a cache server uniformly at random among the usable ones that should hold a copy. If
+    /// there is none, picks the next usable cache server in the rendezvous order. A cache server is
+    /// usable if it has not failed the request, is available, may receive the request by the rules
+    /// and is expected to answer in time. Returns None if no cache server is usable, or if the
+    /// request needs a fill and there is no fill source.
     fn pick_cache(&self) -> Option<Target> {
-        let tried = &self.request.failed_servers;
-        let usable = |cache: &&ServerState| !tried.contains(&cache.id) && self.can_serve(cache);
+        let failed_servers = &self.request.failed_servers;
+        let usable =
+            |cache: &&ServerState| !failed_servers.contains(&cache.id) && self.can_serve(cache);
         let (caches, copy_count) = (self.ranked.caches.iter().copied(), self.copy_count());
         let usable_holders: Vec<_> = caches.clone().take(copy_count).filter(usable).collect();
         let cache = if usable_holders.is_empty() {
@@ -73,26 +75,26 @@
     }
 
     /// Returns the target for a read. Returns None if an earlier attempt without a fill source has
-    /// found no copy and there is still no source, because a cache without a copy is then of no
-    /// use.
+    /// found no copy and there is still no source, because a cache server without a copy is then of
+    /// no use.
     fn read_target(&self, cache: &ServerState, source: Option<&ServerState>) -> Option<Target> {
-        let is_useful = source.is_some() || !self.request.needs_fill;
+        let is_useful = source.is_some() || !self.request.missed_without_source;
         is_useful.then(|| Target::new(cache, source))
     }
 
-    /// Picks another cache as the fill source, which saves transfers on the location's link. The
-    /// source is the first other cache in the rendezvous order, which most likely holds a copy. It
-    /// is used only if `cache` itself may lack a copy, because it is not the first in the
-    /// rendezvous order or is warming up. Returns None if peer fills are switched off, if there is
-    /// no other cache, if `cache` most likely holds a copy, or if the source has failed a fill for
-    /// the request, is warming up or cannot serve the fill.
+    /// Picks another cache server as the fill source, which saves transfers on the location's link.
+    /// The source is the first other cache server in the rendezvous order, which most likely holds
+    /// a copy. It is used only if `cache` itself may lack a copy, because it is not the first in
+    /// the rendezvous order or is warming up. Returns None if peer fills are switched off, if there
+    /// is no other cache server, if `cache` most likely holds a copy, or if the source has failed a
+    /// fill for the request, is warming up or cannot serve the fill.
     fn pick_peer(&self, cache: &ServerState) -> Option<&'a ServerState> {
         let mut caches = self.ranked.caches.iter().copied();
         let first = self.ranked.caches.first()?;
         let peer = caches.find(|peer| peer.id != cache.id)?;
         let may_lack_copy = first.id != cache.id || cache.is_warming_up(self.now);
         let enabled = self.router.settings.peer_fill != PeerFill::Off;
-        let wanted = enabled && may_lack_copy && !self.request.has_failed_source(peer.id);
+        let wanted = enabled && may_lack_copy && !self.request.has_failed_fill_source(peer.id);
         let usable = wanted && !peer.is_warming_up(self.now) && self.can_serve(peer);
         usable.then_some(peer)
     }
@@ -118,22 +120,22 @@
             sources.extend(self.ranked.origin);
         }
         sources.retain(|source| {
-            !self.request.has_failed_source(source.id) && self.rules_allow(source)
+            !self.request.has_failed_fill_source(source.id) && self.rules_allow(source)
         });
         let is_available = |source: &&ServerState| source.is_available(self.now);
         let mut available = sources.iter().copied().filter(is_available);
         let (first, second) = (available.next(), available.next());
-        let stretch = |source: &ServerState| Some(source.fill_pace.summary(self.now)?.slowdown);
-        let stretches = first.and_then(stretch).zip(second.and_then(stretch));
-        let slower = stretches.is_some_and(|(first, second)| first > SLOWER_PARENT_FACTOR * second);
+        let slowdown = |source: &ServerState| Some(source.fill_pace.summary(self.now)?.slowdown);
+        let slowdowns = first.and_then(slowdown).zip(second.and_then(slowdown));
+        let slower = slowdowns.is_some_and(|(first, second)| first > SLOWER_PARENT_FACTOR * second);
         let preferred = first.filter(|_| !slower).or(second);
         preferred.or(sources.first().copied())
     }
 
-    /// Picks the target of a write, which runs at the origin. The write is sent to the origin
-    /// directly where that is allowed, otherwise through a cache. If an earlier attempt may have
-    /// run, only servers within the dedup scope of that attempt may receive the write. Returns
-    /// None if no server may receive it.
+    /// Picks the target of a write, which is executed at the origin. The write is sent to the
+    /// origin directly where that is allowed, otherwise through a cache server. If an earlier
+    /// attempt may have been executed, only servers within the dedup scope of that attempt may
+    /// receive the write. Returns None if no server may receive it.
     fn pick_for_write(&self) -> Option<Target> {
         let scope = self.router.class(self.request).dedup_scope;
         let repeat_is_safe_at = |server: &ServerState| {
@@ -145,7 +147,8 @@
                     DedupScope::Cell => server.cell == execution.cell,
                 })
         };
-        // A write can run only at the origin, so it is sent there even while the origin is ejected.
+        // A write can be executed only at the origin, so it is sent there even while the origin is
+        // ejected.
         let origin = self.ranked.origin?;
         if self.router.settings.direct_requests && repeat_is_safe_at(origin) {
             return Some(Target::new(origin, None));
@@ -159,18 +162,20 @@
     /// Picks a target for a read for which [`Self::pick_cache`] has found none. Returns None if
     /// there is no target.
     ///
-    /// The target is the first available parent if no cache is available at all, direct requests
-    /// are allowed, the origin has not failed a fill for the request, and the location's link is
-    /// not full. Otherwise it is the first reachable cache that would serve the request in time,
-    /// ejected or not: when ejections leave no cache available, they indicate overload rather than
-    /// faults of single servers. Servers that have failed the request or may not receive it by the
-    /// rules are left out.
+    /// The target is the first available parent if no cache server is available at all, direct
+    /// requests are allowed, the origin has not failed a fill for the request, and the location's
+    /// link is not full. Otherwise it is the first reachable cache server that would serve the
+    /// request in time, ejected or not: when ejections leave no cache server available, they
+    /// indicate overload rather than faults of single servers. Servers that have failed the request
+    /// or may not receive it by the rules are left out.
     fn pick_last_resort(&self) -> Option<Target> {
         let (caches, origin) = (&self.ranked.caches, self.ranked.origin);
-        let tried = &self.request.failed_servers;
-        let may_receive =
-            |server: &&&ServerState| !tried.contains(&server.id) && self.rules_allow(server);
-        let origin_failed = origin.is_some_and(|origin| self.request.has_failed_source(origin.id));
+        let failed_servers = &self.request.failed_servers;
+        let may_receive = |server: &&&ServerState| {
+            !failed_servers.contains(&server.id) && self.rules_allow(server)
+        };
+        let origin_failed =
+            origin.is_some_and(|origin| self.request.has_failed_fill_source(origin.id));
         let cache_available = caches.iter().any(|cache| cache.is_available(self.now));
         let direct = self.router.settings.direct_requests && !cache_available && !origin_failed;
         if direct && !self.link_is_full() {
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -50,10 +50,10 @@
 /// Returns the latency estimate of a class before any answer was received.
 pub(super) fn initial_latency(class: &Class) -> LatencyEstimate {
     let initial_s = class.latency_objective_us as f64 / 1e6 * INITIAL_TRANSFER_TIME_SHARE;
-    let transfer_s = LearnedMean::new(initial_s, MIN_TRANSFER_TIME_SAMPLE_WEIGHT);
+    let typical_transfer_s = LearnedMean::new(initial_s, MIN_TRANSFER_TIME_SAMPLE_WEIGHT);
     let slow_ratio = QuantileEstimate::new(INITIAL_SLOW_RATIO, SLOW_RATIO_STEP, SLOW_ANSWER_SHARE);
     LatencyEstimate::new(
-        transfer_s,
+        typical_transfer_s,
         slow_ratio,
         ANSWER_OVERHEAD_S,
         MIN_MEASURED_TRANSFER_S,
@@ -66,8 +66,8 @@
     /// earlier attempt may have taken effect, the request must be safe to repeat.
     pub(super) fn may_attempt(&self, now: Micros, request: &RequestState) -> bool {
         let class = self.class(request);
-        let repeatable = request.first_possible_execution.is_none_or(|run| {
-            let elapsed_at_answer_us = now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US;
+        let repeatable = request.first_possible_execution.is_none_or(|execution| {
+            let elapsed_at_answer_us = now.saturating_sub(execution.sent_at) + MIN_ATTEMPT_US;
             match class.idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::IdempotencyKey => elapsed_at_answer_us < class.dedup_window_us,
@@ -92,13 +92,13 @@
         let (class, charge_s) = (self.class(request), self.slow_start_charge_s(request));
         let attempt = self.new_attempt(now, request, target);
         let keyed = class.idempotency == Idempotency::IdempotencyKey;
-        let first_run = request.first_possible_execution.filter(|_| keyed);
+        let first_execution = request.first_possible_execution.filter(|_| keyed);
         let action = Action::StartAttempt {
             request: id,
             server: target.server,
             timeout_us: None,
             fill: Some(self.new_fill(now, id, request, target)),
-            send_by: first_run.map(|run| run.sent_at + class.dedup_window_us),
+            send_by: first_execution.map(|execution| execution.sent_at + class.dedup_window_us),
         };
         self.servers.record_attempt_sent(id, &attempt, charge_s);
         self.link.record_attempt_sent();
@@ -109,7 +109,8 @@
     fn new_attempt(&self, now: Micros, request: &RequestState, target: Target) -> InFlightAttempt {
         let server = self.servers.get(target.server);
         let in_flight = server.map_or(0.0, |server| server.transfers_in_flight.total());
-        let slow_s = self.latency[request.class_index].slow_threshold_s(request.transfer_s);
+        let slow_s =
+            self.latency[request.class_index].slow_threshold_s(request.unshared_transfer_s);
         let completion_us = self.settings.rules.purge_completion_us;
         InFlightAttempt {
             expected_by: self.expected_by(now, request, slow_s),
@@ -129,7 +130,8 @@
     /// group, all attempts may wait for the origin. An attempt is then late only if it is also
     /// slow.
     fn expected_by(&self, now: Micros, request: &RequestState, slow_s: f64) -> Micros {
-        let mut expected_s = EXPECTED_OVERHEAD_S + EXPECTED_TRANSFER_TIMES * request.transfer_s;
+        let mut expected_s =
+            EXPECTED_OVERHEAD_S + EXPECTED_TRANSFER_TIMES * request.unshared_transfer_s;
         if self.purges.any_group_purged_within(now, GROUP_REFILL_US) {
             expected_s = expected_s.max(slow_s);
         }
@@ -193,8 +195,8 @@
     }
 
     /// Handles the disconnect of a client. Its attempt is cancelled, so that no link carries an
-    /// answer that nobody receives. Returns None if there is nothing to cancel or cancellation is
-    /// not allowed.
+    /// answer that no client receives. Returns None if there is nothing to cancel or cancellation
+    /// is not allowed.
     pub(super) fn handle_disconnect(&mut self, id: RequestId) -> Option<Action> {
         let request = self.requests.get_mut(id)?;
         request.client_disconnected = true;
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -19,7 +19,7 @@
     /// The request carries an idempotency key, by which a group of servers drops repeats for a
     /// limited time.
     IdempotencyKey,
-    /// The request must not run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
@@ -44,7 +44,7 @@
     /// Multiple of the request's transfer time by which the latency objective is extended. The
     /// transfer time is the time that the transfer takes if it shares no link.
     pub objective_per_transfer_time: f64,
-    /// Longest time until clients give up.
+    /// Longest time until clients stop waiting.
     pub deadline_us: Micros,
     /// Weight of one request relative to requests of other classes.
     pub priority_weight: f64,
@@ -61,7 +61,7 @@
     pub streaming: bool,
     /// Whether objects of the class have several parts.
     pub multipart: bool,
-    /// Whether the request is a write, which runs at the origin and is never cached.
+    /// Whether the request is a write, which is executed at the origin and is never cached.
     pub is_write: bool,
     /// How long a copy is fresh; 0 if it is fresh until it is purged.
     pub freshness_lifetime_us: Micros,
@@ -85,8 +85,8 @@
 pub struct Zone {
     /// The zone's name, as in the endpoint list.
     pub name: String,
-    /// Number of edge proxies in the zone.
-    pub edge_proxies: u32,
+    /// Number of edge proxies in the zone. Each runs one router.
+    pub edge_proxy_count: u32,
     /// Index of the zone that is the hub of this one.
     pub hub: usize,
     /// Rate of the link that all fills of the zone share, in KB per second; 0 if unknown.
@@ -195,7 +195,7 @@
     pub cancellation: bool,
     /// Whether servers may be probed.
     pub probing: bool,
-    /// Whether rejections tell clients when to retry (Retry-After).
+    /// Whether rejections state when clients may retry (Retry-After).
     pub retry_after: bool,
     /// Longest Retry-After that clients follow.
     pub max_retry_after_us: Micros,
@@ -242,13 +242,13 @@
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Returns the limits of a cache of the router's own zone that is warming up.
+    /// Returns the limits of a cache server of the router's own zone that is warming up.
     pub(crate) fn cache_warm_up(&self) -> WarmUp {
         WarmUp {
             initial_share: self.rules.warm_up_initial_share,
             duration_us: self.rules.warm_up_us,
             overload_multiple: self.rules.overload_multiple,
-            router_count: self.own_zone().edge_proxies,
+            router_count: self.own_zone().edge_proxy_count,
         }
     }
 
@@ -258,18 +258,18 @@
             initial_share: self.rules.parent_warm_up_initial_share,
             duration_us: self.rules.parent_warm_up_us,
             overload_multiple: self.rules.parent_overload_multiple,
-            router_count: self.zones.iter().map(|zone| zone.edge_proxies).sum(),
+            router_count: self.zones.iter().map(|zone| zone.edge_proxy_count).sum(),
         }
     }
 
     /// Returns the number of other edge proxies in the router's own zone.
     pub(crate) fn other_router_count(&self) -> f64 {
-        f64::from(self.own_zone().edge_proxies.max(1)) - 1.0
+        f64::from(self.own_zone().edge_proxy_count.max(1)) - 1.0
     }
 
     /// Returns the time in seconds that a transfer of this size takes if it shares no link, or None
     /// if the size or the rate is unknown.
-    pub(crate) fn transfer_s(&self, size_kb: f64) -> Option<f64> {
+    pub(crate) fn unshared_transfer_s(&self, size_kb: f64) -> Option<f64> {
         let known = self.transfer_kb_per_s > 0.0 && size_kb > 0.0;
         known.then(|| size_kb / self.transfer_kb_per_s)
     }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -13,7 +13,7 @@
 /// The time at which every test begins. Every server has started long before, unless a test says
 /// otherwise.
 pub const START_TIME_US: Micros = 100 * SECOND_US;
-/// The time after which clients give up on a request, unless a test says otherwise.
+/// The time after which clients stop waiting for an answer, unless a test says otherwise.
 pub const CLIENT_TIMEOUT_US: Micros = 5 * SECOND_US;
 
 /// The tag of the router's recurring sweep timer.
@@ -78,9 +78,9 @@
 pub const ORIGIN: ServerId = 21;
 
 /// The purge group of every requested object.
-pub const GROUP: u64 = 3;
+pub const PURGE_GROUP: u64 = 3;
 /// A purge group that no requested object belongs to.
-pub const OTHER_GROUP: u64 = 4;
+pub const OTHER_PURGE_GROUP: u64 = 4;
 
 /// Returns a class of idempotent reads with a latency objective of half a second.
 pub fn class(name: &str) -> Class {
@@ -130,9 +130,9 @@
 
 /// Returns the hub and two locations with one edge proxy each.
 pub fn zones() -> Vec<Zone> {
-    let zone = |index: usize, edge_proxies, link_kb_per_s| Zone {
+    let zone = |index: usize, edge_proxy_count, link_kb_per_s| Zone {
         name: ZONE_NAMES[index].into(),
-        edge_proxies,
+        edge_proxy_count,
         hub: HUB_ZONE_INDEX,
         link_kb_per_s,
     };
@@ -296,17 +296,17 @@
 pub fn object_purge(object: &str, age_us: Micros) -> Event {
     Event::Purged {
         object: Some(object.into()),
-        group: GROUP,
+        purge_group: PURGE_GROUP,
         age_us,
         permanent: false,
     }
 }
 
 /// Returns the event that a whole purge group was purged `age_us` microseconds ago.
-pub fn group_purge(group: u64, age_us: Micros) -> Event {
+pub fn group_purge(purge_group: u64, age_us: Micros) -> Event {
     Event::Purged {
         object: None,
-        group,
+        purge_group,
         age_us,
         permanent: false,
     }
@@ -320,7 +320,7 @@
         tenant: None,
         object: object.into(),
         part: 0,
-        group: GROUP,
+        purge_group: PURGE_GROUP,
         size_kb: PART_SIZE_KB,
         remaining_us: CLIENT_TIMEOUT_US,
         is_retry: false,
@@ -338,7 +338,7 @@
     pub server: ServerId,
     /// How a miss is filled.
     pub fill: Fill,
-    /// The time-out of the attempt. `None` if it ends only when the client gives up.
+    /// The timeout of the attempt. `None` if it ends only when the client stops waiting.
     pub timeout_us: Option<Micros>,
 }
 
--- a/crates/soak/src/client/mod.rs
+++ b/crates/soak/src/client/mod.rs
@@ -89,7 +89,7 @@
     id: String,
     class: &'static str,
     object: u64,
-    group: u64,
+    purge_group: u64,
     budget_ms: u64,
     /// After which time the client cancels the request, and whether it does so by closing the
     /// connection instead of an abort record. `None` if it waits for the answer.
@@ -153,7 +153,7 @@
         let request = FastCgiClient::encode_request(1, "/_health", &[], b"");
         let answer = connection.send(1, &request).await?;
         match timeout(Duration::from_millis(500), answer).await {
-            Ok(Ok(RequestOutcome::Answered(response))) => Ok(response.status),
+            Ok(Ok(RequestOutcome::Answered(answer))) => Ok(answer.status),
             _ => Err(io::ErrorKind::TimedOut.into()),
         }
     }
@@ -189,7 +189,7 @@
             id: format!("{:08x}{number:08x}", self.proxy + 1),
             class,
             object,
-            group: object % PURGE_GROUP_COUNT,
+            purge_group: object % PURGE_GROUP_COUNT,
             budget_ms,
             cancel_after,
             on_new_connection,
@@ -233,7 +233,8 @@
                 .await;
             let may_have_raced_close = was_used_before && sent_at.elapsed() < CLOSE_RACE_WINDOW;
             match outcome {
-                // After a kill it is unknown whether the request ran, so it is not sent again.
+                // After a kill it is unknown whether the request was executed, so it is not sent
+                // again.
                 Some(RequestOutcome::ConnectionClosed)
                     if may_have_raced_close
                         && attempt == 0
@@ -280,7 +281,7 @@
             proxy: self.proxy,
             class: planned_request.class,
             object: planned_request.object,
-            group: planned_request.group,
+            purge_group: planned_request.purge_group,
             sent_ms: run_state.now_ms(),
             budget_ms: planned_request.budget_ms,
             cancelled_ms: None,
@@ -333,19 +334,19 @@
             return;
         };
         match outcome {
-            Some(RequestOutcome::Answered(response)) => {
-                request.answer = Some((response.status, now_ms));
-                if response.status != 200 {
+            Some(RequestOutcome::Answered(answer)) => {
+                request.answer = Some((answer.status, now_ms));
+                if answer.status != 200 {
                     return;
                 }
-                match copy_creation_unix_ms(planned_request.object, &response.body) {
+                match copy_creation_unix_ms(planned_request.object, &answer.body) {
                     Some(created_unix_ms) => request.copy_created_unix_ms = Some(created_unix_ms),
                     None => {
                         let detail = format!(
                             "request {}: the body of the answer ({} bytes) is \
                              not a copy of the requested object",
                             planned_request.id,
-                            response.body.len()
+                            answer.body.len()
                         );
                         run_state.report(Rule::TrueAnswer, Some(self.proxy), detail);
                     }
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -1,5 +1,5 @@
-//! Runs a plan: starts the simulated cluster, applies each fault at its time, and shuts everything
-//! down.
+//! Executes the plan of a run: starts the proxies and the services that they connect to, applies
+//! each fault at its time, and shuts the proxies down.
 
 use crate::bad_client;
 use crate::cache_server::{Behavior, CacheServer};
@@ -269,7 +269,7 @@
             let old = run_state.server_at_address(address_index);
             let now_ms = run_state.now_ms();
             run_state.servers[old].state = "draining";
-            run_state.servers[old].withdrawn = Some((now_ms, run_state.events.len() + 1));
+            run_state.servers[old].drained = Some((now_ms, run_state.events.len() + 1));
             run_state.publish_endpoint_entries(&[old]);
             old
         };
@@ -369,8 +369,10 @@
         loop {
             sleep(BUS_PURGE_INTERVAL).await;
             let object = (random.u32(0..6) > 0).then(|| random.u64(1..=24));
-            let group = random.u64(0..4);
-            self.run_state.borrow_mut().publish_purge(object, group);
+            let purge_group = random.u64(0..4);
+            self.run_state
+                .borrow_mut()
+                .publish_purge(object, purge_group);
         }
     }
 
@@ -519,7 +521,7 @@
         }
     }
 
-    /// Shuts down all processes as in a planned restart, with requests open.
+    /// Shuts down all processes as in a planned restart, with requests pending.
     async fn shut_down_proxies(&self) {
         let mut shutdowns = Vec::new();
         for proxy in self.proxies.iter().cloned() {
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -91,12 +91,15 @@
                 report(
                     Rule::RunOnce,
                     request.sent_ms,
-                    format!("a request that must not run twice ran {executions} times"),
+                    format!(
+                        "a request that must not be executed twice was executed {executions} times"
+                    ),
                 );
             }
             let is_rejected = matches!(request.answer, Some((429 | 503, _)));
             if is_rejected && executions > 0 {
-                let detail = "the request was rejected although it may have run".to_owned();
+                let detail =
+                    "the request was rejected although it may have been executed".to_owned();
                 report(Rule::HonestRejection, request.sent_ms, detail);
             }
         }
@@ -175,14 +178,14 @@
             report(Rule::ClientTime, at_ms, detail);
         }
         for (index, server) in self.run_state.servers.iter().enumerate() {
-            let Some((withdrawn_ms, event_number)) = server.withdrawn else {
+            let Some((drained_ms, event_number)) = server.drained else {
                 continue;
             };
             let is_fill_source = attempt.fill_source.as_deref() == Some(server.uid.as_str());
             if attempt.server_index != index && !is_fill_source {
                 continue;
             }
-            let delivery_ms = self.delivery_ms(request.proxy, event_number, withdrawn_ms);
+            let delivery_ms = self.delivery_ms(request.proxy, event_number, drained_ms);
             if at_ms > delivery_ms + DRAIN_GRACE_MS + MEASUREMENT_SLACK_MS {
                 let detail = format!(
                     "an attempt used server {} {} ms after the proxy had learned that the \
@@ -205,7 +208,7 @@
         for purge in &self.run_state.purges {
             let is_purge_target = match purge.object {
                 Some(object) => object == request.object,
-                None => purge.group == request.group,
+                None => purge.purge_group == request.purge_group,
             };
             let delivery_ms =
                 self.delivery_ms(request.proxy, purge.event_number, purge.published_ms);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,5 +1,6 @@
-//! The state of a run: what is true in it, and what its parts observed. All times are read from one
-//! clock.
+//! The shared state of a run: the servers, events and purges of the simulated cluster, and the
+//! record of the requests and attempts that clients and servers observed. All times are read from
+//! one clock.
 //!
 //! "Milliseconds of the run" are milliseconds since the start of the run.
 
@@ -27,10 +28,10 @@
 /// A purge that is announced on the event bus.
 #[derive(Clone, Debug)]
 pub struct Purge {
-    /// The object to purge, or `None` for every object of the group.
+    /// The object to purge, or `None` for every object of the purge group.
     pub object: Option<u64>,
     /// The purge group.
-    pub group: u64,
+    pub purge_group: u64,
     /// When the purge was made, in Unix milliseconds. Copies created before that are purged.
     pub purged_unix_ms: u64,
     /// The number of the purge's event on the bus.
@@ -63,7 +64,7 @@
     pub address_index: usize,
     /// When the server's list entry changed to draining or gone, in milliseconds of the run, and
     /// the number of that event on the bus. `None` while the server is ready.
-    pub withdrawn: Option<(u64, usize)>,
+    pub drained: Option<(u64, usize)>,
     /// When the server's process started and was published, in milliseconds of the run, and the
     /// number of that event on the bus. `None` for a server that was already warm when the run
     /// began.
@@ -82,7 +83,7 @@
     /// The requested object.
     pub object: u64,
     /// The purge group of the object.
-    pub group: u64,
+    pub purge_group: u64,
     /// When the last byte of the request was written, in milliseconds of the run.
     pub sent_ms: u64,
     /// How long the client waits for the answer, in milliseconds.
@@ -232,7 +233,7 @@
         self.servers.push(Server {
             uid,
             address_index,
-            withdrawn: None,
+            drained: None,
             started,
             state: "ready",
         });
@@ -307,17 +308,17 @@
     }
 
     /// Publishes a purge that takes effect now.
-    pub fn publish_purge(&mut self, object: Option<u64>, group: u64) {
+    pub fn publish_purge(&mut self, object: Option<u64>, purge_group: u64) {
         let purge = Purge {
             object,
-            group,
+            purge_group,
             purged_unix_ms: self.now_unix_ms(),
             event_number: self.events.len() + 1,
             published_ms: self.now_ms(),
         };
         let ban = match object {
             Some(object) => json!({"url": object_key(object), "ts": purge.purged_unix_ms}),
-            None => json!({"tag": group, "ts": purge.purged_unix_ms}),
+            None => json!({"tag": purge_group, "ts": purge.purged_unix_ms}),
         };
         self.purges.push(purge);
         self.publish(json!({ "ban": ban }));
@@ -348,7 +349,7 @@
         json!({"offset": offset, "batch": batch})
     }
 
-    /// Records that a proxy's process ends now without a chance to answer open requests.
+    /// Records that a proxy's process ends now without a chance to answer pending requests.
     pub fn record_abrupt_exit(&mut self, proxy: usize) {
         let now_ms = self.now_ms();
         self.abrupt_exits.push((proxy, now_ms));
