--- a/crates/proxy/src/frontend/fastcgi/request.rs
+++ b/crates/proxy/src/frontend/fastcgi/request.rs
@@ -21,7 +21,7 @@
 /// Number of hexadecimal digits in an idempotency key.
 const IDEMPOTENCY_KEY_DIGITS: usize = 32;
 /// Highest purge group. There are 256 purge groups, numbered from 0.
-const MAX_GROUP: u64 = 255;
+const MAX_PURGE_GROUP: u64 = 255;
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
 /// A CGI parameter that this frontend reads.
@@ -171,7 +171,9 @@
             part: self
                 .number(Parameter::Part, 0, limits.max_part_number)?
                 .unwrap_or(0),
-            purge_group: self.number(Parameter::Group, 0, MAX_GROUP)?.unwrap_or(0),
+            purge_group: self
+                .number(Parameter::Group, 0, MAX_PURGE_GROUP)?
+                .unwrap_or(0),
             size_kb: self.size_kb(limits.max_part_size_kb)?,
             remaining_us: self.remaining_us(limits)?,
             idempotency_key: self.hexadecimal(Parameter::IdempotencyKey, IDEMPOTENCY_KEY_DIGITS)?,
--- a/crates/proxy/src/frontend/fastcgi/session.rs
+++ b/crates/proxy/src/frontend/fastcgi/session.rs
@@ -215,8 +215,8 @@
         record: Record,
         limits: &Limits,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
-        // A well-behaved client waits for at most as many answers as it may have open requests, so
-        // its queue stays below this limit.
+        // A well-behaved client waits for at most as many answers as it may have unanswered
+        // requests, so its queue stays below this limit.
         if self.outgoing.len() >= limits.unsent_answers_per_client {
             return Err(ProtocolError::TooLong(
                 "the queue of answers that the client does not read",
--- a/crates/proxy/src/frontend/interconnect/content.rs
+++ b/crates/proxy/src/frontend/interconnect/content.rs
@@ -10,7 +10,7 @@
 const OBJECT_KEY_DIGITS: usize = 16;
 /// Multiplier that maps consecutive numbers to request ids. Because it is odd, ids repeat only
 /// after 2^64 requests. It is 2^64 divided by the golden ratio, which spreads the ids evenly.
-const ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+const REQUEST_ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The content that the path of a URL names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,28 +69,29 @@
 /// FastCGI clients send.
 pub(super) struct RequestIds {
     seed: u64,
-    issued_ids: u64,
+    issued_count: u64,
 }
 
 impl RequestIds {
     pub(super) fn new(seed: u64) -> Self {
         RequestIds {
             seed,
-            issued_ids: 0,
+            issued_count: 0,
         }
     }
 
     fn next_id(&mut self) -> String {
-        self.issued_ids += 1;
-        let offset = self.issued_ids.wrapping_mul(ID_MULTIPLIER);
+        self.issued_count += 1;
+        let offset = self.issued_count.wrapping_mul(REQUEST_ID_MULTIPLIER);
         format!("{:016x}", self.seed.wrapping_add(offset))
     }
 }
 
-/// Returns the client request for a content URL, or `None` if the URL names no content of this CDN.
+/// Returns the client request for a content URL. Returns `None` if the URL names no content, or if
+/// the objects of its class may not be requested through the interconnect.
 ///
-/// Invalid values in the query and invalid tags are ignored rather than rejected, because another
-/// CDN wrote the URL to which it redirected the client.
+/// Invalid values in the query are ignored rather than rejected, because another CDN wrote the URL
+/// to which it redirected the client. An invalid tag in the header is ignored as well.
 pub(super) fn client_request(
     identity: &Identity,
     ids: &mut RequestIds,
@@ -104,7 +105,7 @@
         class: content.class.to_owned(),
         object: content.object.to_owned(),
         part: content.part,
-        purge_group: group(target),
+        purge_group: purge_group(target),
         size_kb: size_kb(target),
         remaining_us,
         client_copy_tag: client_copy_tag(head),
@@ -119,12 +120,14 @@
         .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-fn group(target: &str) -> u64 {
+/// Returns the purge group that the query names, or 0 if it names none or the value is invalid.
+fn purge_group(target: &str) -> u64 {
     query_value(target, "lot")
         .and_then(|value| value.parse().ok())
         .unwrap_or(0)
 }
 
+/// Returns the size that the query names, or 0 if it names none or the value is invalid.
 fn size_kb(target: &str) -> f64 {
     query_value(target, "kb")
         .and_then(|value| value.parse().ok())
@@ -133,7 +136,8 @@
 }
 
 /// Returns the tag of the copy that the client holds, from the `If-None-Match` header (RFC 9110,
-/// section 13.1.2). Weak tags are treated as strong tags.
+/// section 13.1.2). Weak tags are treated as strong tags. Returns `None` if the header is missing
+/// or is not a single tag of ASCII letters and digits.
 fn client_copy_tag(head: &Head) -> Option<String> {
     let tag = head
         .header("if-none-match")?
--- a/crates/proxy/src/frontend/interconnect/frontend.rs
+++ b/crates/proxy/src/frontend/interconnect/frontend.rs
@@ -116,8 +116,8 @@
 
     /// Returns notifications that carry trigger commands to every peer CDN, for a purge that did
     /// not come from a peer CDN.
-    pub fn purge_commands(&self, object: Option<&str>, group: u64) -> Vec<Notification> {
-        triggers::purge_commands(&self.identity, object, group)
+    pub fn purge_commands(&self, object: Option<&str>, purge_group: u64) -> Vec<Notification> {
+        triggers::purge_commands(&self.identity, object, purge_group)
     }
 
     fn handle_content(&mut self, head: &Head, target: &str) -> HandledRequest {
--- a/crates/proxy/src/frontend/interconnect/triggers/propagation.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/propagation.rs
@@ -9,10 +9,14 @@
 
 /// Returns commands for every peer CDN to purge an object. Without an object they purge the whole
 /// purge group.
-pub fn purge_commands(identity: &Identity, object: Option<&str>, group: u64) -> Vec<Notification> {
+pub fn purge_commands(
+    identity: &Identity,
+    object: Option<&str>,
+    purge_group: u64,
+) -> Vec<Notification> {
     let specification = match object {
         Some(object) => json!({"type": "purge", "content.urls": content_urls(identity, object)}),
-        None => json!({"type": "purge", "content.ccid": [group.to_string()]}),
+        None => json!({"type": "purge", "content.ccid": [purge_group.to_string()]}),
     };
     propagate(identity, &specification, &[])
 }
--- a/crates/proxy/src/frontend/interconnect/triggers/resources.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/resources.rs
@@ -290,7 +290,7 @@
     let purges = specification
         .purges
         .into_iter()
-        .map(|target| Effect::Purge(target.object, target.group));
+        .map(|target| Effect::Purge(target.object, target.purge_group));
     let notifications = propagate(command.identity, properties, cdn_path)
         .into_iter()
         .map(Effect::Notify);
--- a/crates/proxy/src/frontend/interconnect/triggers/specification.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/specification.rs
@@ -30,7 +30,7 @@
     /// Key of the object, or `None` to purge the whole purge group.
     pub object: Option<String>,
     /// Purge group, which is used only if there is no object.
-    pub group: u64,
+    pub purge_group: u64,
 }
 
 /// Error for a trigger specification that does not have the form that RFC 8007 requires.
@@ -122,17 +122,17 @@
     let content = ContentPath::parse(url)?;
     Some(PurgeTarget {
         object: Some(content.object.to_owned()),
-        group: 0,
+        purge_group: 0,
     })
 }
 
 fn group_target(collection: &str) -> Option<PurgeTarget> {
-    let group = collection
+    let purge_group = collection
         .parse()
         .ok()
-        .filter(|group| *group < GROUP_COUNT)?;
+        .filter(|purge_group| *purge_group < GROUP_COUNT)?;
     Some(PurgeTarget {
         object: None,
-        group,
+        purge_group,
     })
 }
