--- a/crates/proxy/src/discovery/endpoint_entry.rs
+++ b/crates/proxy/src/discovery/endpoint_entry.rs
@@ -8,10 +8,11 @@
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
-/// An entry of the endpoint list in its JSON form.
+/// An entry of the endpoint list as its JSON text has it. Defaults replace missing values when it
+/// is converted to a [`ListedServer`].
 #[derive(Debug, Deserialize)]
 pub(super) struct EndpointEntry {
-    /// The server's id, as text.
+    /// The server's id in the wire protocols. The proxy's own numeric id is its hash.
     #[serde(rename = "uid")]
     pub wire_id: String,
     /// The address on which the server listens.
@@ -20,15 +21,21 @@
     /// `ready`, `draining` or `gone`.
     #[serde(deserialize_with = "endpoint_state")]
     pub state: EndpointState,
+    /// Name of the server's zone.
     #[serde(rename = "az")]
     pub zone: Option<String>,
+    /// Number of the server's cell, a group of servers that drop repeats of an idempotency key
+    /// together.
     #[serde(rename = "pod_group")]
     pub cell: Option<WholeNumber>,
+    /// Name of the server's kind, which determines its role: parent, origin or cache server.
     #[serde(rename = "model")]
     pub kind: Option<String>,
+    /// Capacity of the server's link in transfers at full rate.
     #[serde(rename = "capacity_hint")]
     pub weight: Option<f64>,
-    /// Unix time of the server's last start, in milliseconds. 0 if the start was long ago.
+    /// Unix time of the server's last start, in milliseconds. 0 or no value means that the start
+    /// was so long ago that the server is no longer warming up.
     #[serde(rename = "boot_ms")]
     pub started_ms: Option<WholeNumber>,
 }
--- a/crates/proxy/src/discovery/purge_log.rs
+++ b/crates/proxy/src/discovery/purge_log.rs
@@ -1,5 +1,6 @@
 //! The purge log is a file with the purges that only this proxy and its peers were notified of.
-//! Cache servers are not notified of them, so a proxy must read them back after a restart.
+//! Cache servers were not notified of these purges and may still hold purged copies, so the proxy
+//! must read the purges back after a restart.
 //!
 //! Each line is a purge as encoded by [`purge_gossip`](super::purge_gossip). A purge is stored once
 //! its line is on disk. After a write error, it is unknown which of the last lines are on disk. The
@@ -14,7 +15,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file is rewritten once it has at least two lines for each purge plus this many.
+/// The file is rewritten once its number of lines reaches twice the number of purge targets plus
+/// this many.
 pub const REWRITE_SLACK_LINES: usize = 1024;
 
 /// The target of a purge: an object, or a whole purge group if the object is None.
@@ -67,8 +69,8 @@
         self.last_purges.iter().map(to_purge).collect()
     }
 
-    /// Stores a purge, unless a purge of the same target at the same time or later is stored.
-    /// Ignores a purge that [`encode`] can't encode.
+    /// Stores a purge. If the last stored purge of the same target is at least as recent, only
+    /// carries out a pending rewrite. Ignores a purge that [`encode`] can't encode.
     ///
     /// # Errors
     ///
@@ -171,7 +173,7 @@
     Ok(file)
 }
 
-/// Returns the directory of a file.
+/// Returns the directory of a file. This is the current directory if the path names none.
 fn parent_directory(path: &Path) -> &Path {
     match path.parent() {
         Some(directory) if !directory.as_os_str().is_empty() => directory,
--- a/crates/proxy/src/discovery/reference_time.rs
+++ b/crates/proxy/src/discovery/reference_time.rs
@@ -1,39 +1,44 @@
-//! The reference time, which corrects the local clock by timestamps from the event bus and the
-//! origin. The local clock is the clock of the event loop.
+//! Estimates how far the reference time is ahead of the local clock. The reference time is the Unix
+//! time of the event bus and the origin. The local clock is the clock of the event loop. It reads
+//! the wall clock once, when the process starts, and is monotonic from then on.
 //!
-//! The event bus timestamps purges and server starts with Unix time, and the origin timestamps
-//! copies. The wall clock of this machine may have been wrong by seconds or by an hour when the
-//! process started, and nothing reports this. However, a timestamp that has arrived can't lie in
-//! the future. The reference time is therefore ahead of the local clock by at least as much as any
-//! timestamp was on arrival.
+//! The event bus timestamps purges and server starts, and the origin timestamps copies. The wall
+//! clock of this machine may have been wrong by seconds or by an hour when the process started, and
+//! nothing reports this. However, a timestamp that has arrived can't lie in the future. If a
+//! timestamp is ahead of the local clock by some amount on arrival, the reference time is ahead by
+//! at least this amount. This amount is called the lead of the timestamp. It is negative if the
+//! timestamp is behind the local clock.
 //!
-//! This lower bound of the lead is used to convert timestamps to the local clock. It is the safe
-//! choice for both uses. A purge never seems older than it is, which would let a copy from before
-//! the purge be served. A server's start never seems older than it is either, which would end its
-//! slow start early. The bound is exact to a few milliseconds once a fresh copy has arrived. Before
-//! any timestamp has arrived, the local clock is used unchanged.
+//! The highest lead that was counted is a lower bound of how far the reference time is ahead. It is
+//! subtracted from timestamps to convert them to the local clock. A lower bound is the safe choice,
+//! because the converted times are never too early. If a purge seemed older than it is, a copy from
+//! before the purge could be served. If the start of a server seemed older than it is, its slow
+//! start would end early. The bound is too low by at most the age that a counted timestamp had on
+//! arrival plus `MIN_STEP_US`. The age of a fresh copy is a few milliseconds. Before any timestamp
+//! has counted, timestamps are used without conversion.
 
 use edge_routing::Micros;
 
 /// The bound is raised in steps of at least this size, because each step requires a pass over all
-/// servers.
+/// servers and purges to correct their times.
 const MIN_STEP_US: i64 = 10_000;
-/// The timestamp of a copy may be wrong. If it says that the local clock is late (a positive lead)
-/// and would raise the bound, it counts only if the previous such timestamp implies a lead that
-/// differs by at most this much.
+/// The timestamp of a copy may be wrong. It needs confirmation by another copy if its lead is
+/// positive, which means that the local clock is late, and would set or raise the bound. It is
+/// confirmed if its lead differs by at most this much from the lead of the previous timestamp that
+/// needed confirmation. Other timestamps count without confirmation.
 const MAX_CONFIRMATION_DIFFERENCE_US: i64 = 1_000_000;
-/// A timestamp of a copy that exceeds the known bound by more than this (24 hours) is wrong and is
-/// ignored.
+/// A timestamp of a copy whose lead exceeds the bound by more than this (24 hours) is wrong and is
+/// ignored. A bound that is not known yet counts as 0.
 const MAX_COPY_LEAD_US: i64 = 24 * 3_600 * 1_000_000;
 
 /// A lower bound of how far the reference time is ahead of the local clock.
 #[derive(Debug, Default)]
 pub struct ReferenceTime {
     /// The reference time is ahead of the local clock by at least this much. None before any
-    /// timestamp has arrived.
+    /// timestamp has counted.
     min_lead_us: Option<i64>,
-    /// The lead that follows from the last timestamp of a copy that needed confirmation by another
-    /// copy, because its lead is positive and would have raised the bound.
+    /// The lead of the last timestamp that needed confirmation; see
+    /// [`MAX_CONFIRMATION_DIFFERENCE_US`].
     unconfirmed_lead_us: Option<i64>,
 }
 
@@ -44,8 +49,8 @@
     }
 
     /// Records the timestamp of an event from the event bus. Returns by how much the bound has
-    /// risen, in microseconds. Earlier results of [`to_local`](Self::to_local) are too high by this
-    /// much.
+    /// risen, in microseconds, or 0 if this sets the first bound. Earlier results of
+    /// [`to_local`](Self::to_local) are too high by the returned amount.
     pub fn observe_event(&mut self, now: Micros, timestamp_us: u64) -> Micros {
         self.raise_bound(lead(now, timestamp_us))
     }
@@ -62,14 +67,16 @@
         {
             return 0;
         }
-        if lead_us <= 0 || self.min_lead_us.is_some_and(|known_us| lead_us <= known_us) {
+        if lead_us <= 0 || self.min_lead_us.is_some_and(|bound_us| lead_us <= bound_us) {
             return self.raise_bound(lead_us);
         }
         let confirmed_us = self
             .unconfirmed_lead_us
             .replace(lead_us)
-            .filter(|other_us| lead_us.abs_diff(*other_us) <= MAX_CONFIRMATION_DIFFERENCE_US as u64)
-            .map(|other_us| other_us.min(lead_us));
+            .filter(|previous_us| {
+                lead_us.abs_diff(*previous_us) <= MAX_CONFIRMATION_DIFFERENCE_US as u64
+            })
+            .map(|previous_us| previous_us.min(lead_us));
         confirmed_us.map_or(0, |lead_us| self.raise_bound(lead_us))
     }
 
@@ -77,16 +84,16 @@
     /// size of the step in microseconds, or 0 if this sets the first bound or leaves the bound
     /// unchanged.
     fn raise_bound(&mut self, lead_us: i64) -> Micros {
-        let Some(known_us) = self.min_lead_us else {
+        let Some(bound_us) = self.min_lead_us else {
             self.min_lead_us = Some(lead_us);
             return 0;
         };
-        let moved_us = lead_us.saturating_sub(known_us);
-        if moved_us < MIN_STEP_US {
+        let step_us = lead_us.saturating_sub(bound_us);
+        if step_us < MIN_STEP_US {
             return 0;
         }
         self.min_lead_us = Some(lead_us);
-        moved_us.unsigned_abs()
+        step_us.unsigned_abs()
     }
 }
 
--- a/crates/proxy/src/protocol/sse.rs
+++ b/crates/proxy/src/protocol/sse.rs
@@ -1,8 +1,9 @@
 //! Server-sent events (HTML Standard, section 9.2).
 //!
-//! A stream consists of lines `name: value`. An event consists of the `data` lines up to the next
-//! empty line. An `id` line sets the id of the current event and of all later ones. Comments and
-//! other fields are ignored.
+//! A stream consists of lines `name: value`. The space may be missing. A line without a colon is a
+//! name with an empty value. An event consists of the `data` lines up to the next empty line. An
+//! empty line without preceding `data` lines ends no event. An `id` line sets the id of the current
+//! event and of all later ones. Comments and other fields are ignored.
 
 use super::line::LineBuffer;
 use super::{Parser, ProtocolError};
@@ -12,7 +13,8 @@
 pub struct Event {
     /// The most recent id in the stream, or an empty string if there was none.
     pub id: String,
-    /// Values of the `data` lines, joined by line feeds.
+    /// Values of the `data` lines, joined by line feeds. No line feed is added before the first
+    /// value that is not empty.
     pub data: String,
 }
 
--- a/crates/testkit/src/fake_cache.rs
+++ b/crates/testkit/src/fake_cache.rs
@@ -1,5 +1,5 @@
-//! Fake cache servers, which keep copies, respect the largest acceptable age in a request, and
-//! record every command.
+//! Fake cache servers, which keep copies and record every command. By default they do not serve a
+//! copy that is older than the request allows.
 
 use crate::received_command::ReceivedCommand;
 use crate::{listen, ANY_LOOPBACK_PORT, MAX_MESSAGE_BYTES, READ_CHUNK_BYTES, TEST_TIMEOUT};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a fake cache server answers requests that it has not received yet.
+/// How a fake cache server answers requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
     /// Delay of each answer in milliseconds.
@@ -94,17 +94,17 @@
     /// Starts a server that listens on an address.
     pub fn start_at(id: &'static str, address: &str) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
-        let serving = shared.clone();
+        let shared_with_connections = shared.clone();
         let address = listen(address, move |socket| {
             let server = FakeCacheServer {
                 id,
                 address: socket.local_addr().ok()?,
-                shared: serving.clone(),
+                shared: shared_with_connections.clone(),
             };
             server.state().accepted_connections += 1;
-            let served = server.serve(socket);
+            let result = server.serve(socket);
             server.state().closed_connections += 1;
-            served
+            result
         })?;
         Ok(FakeCacheServer {
             id,
@@ -119,7 +119,7 @@
         FakeCacheServer { id, ..self.clone() }
     }
 
-    /// Sets how the server answers requests that it has not received yet.
+    /// Sets how the server answers the requests that it receives from now on.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.state().behavior = behavior;
     }
@@ -172,7 +172,7 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves a connection until it closes or sends invalid input.
+    /// Serves a connection until the client closes it or sends invalid input.
     fn serve(&self, mut socket: TcpStream) -> Option<()> {
         let mut array_parser = resp::ArrayParser::new(MAX_MESSAGE_BYTES);
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -221,7 +221,8 @@
 struct ServedCopy {
     /// Unix time in milliseconds.
     created_at_ms: u64,
-    /// Whether the copy was stored before the request, and not filled for it.
+    /// Whether the copy was stored before the request arrived. Otherwise it was filled for the
+    /// request.
     was_cached: bool,
 }
 
