--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! All decisions of the router, with their thresholds and tuning constants.
 //!
-//! [`Router`] dispatches events. [`replication`] holds the ordinary path of a request and follows
-//! the design that `docs/architecture.md` names. The other modules decide what that design leaves
-//! open.
+//! [`Router`] dispatches events. [`replication`] selects the servers and fill sources of requests
+//! as in the design that `docs/architecture.md` names. The other modules decide what that design
+//! leaves open.
 
 mod admission;
 mod attempt_end;
@@ -20,25 +20,29 @@
 use crate::state::{RequestState, RequestTable, ServerTable};
 use replication::Selection;
 
-/// Half-life of request counts and of transfer pace. The design sets it for request counts.
+/// Half-life of the decayed request counts and of the sums in [`TransferPace`]. The design that
+/// `docs/architecture.md` names specifies this value for request counts.
 const STATISTICS_HALF_LIFE_S: f64 = 10.0;
-/// Maximum number of objects, and of parts of objects, whose requests are counted.
+/// Maximum number of objects whose requests are counted. The same limit applies to parts of
+/// objects.
 const MAX_COUNTED_KEYS: usize = 20_000;
 /// Request count below which objects and parts are evicted first when their table is full.
-const FIRST_EVICTION_COUNT: f64 = 0.25;
-/// Number of remembered purges. Permanent purges are kept beyond it.
+const INITIAL_EVICTION_THRESHOLD: f64 = 0.25;
+/// Maximum number of remembered purges. Permanent purges are kept beyond it.
 const MAX_REMEMBERED_PURGES: usize = 40_000;
-/// Decayed number of transfers that is sufficient to know their pace.
+/// Decayed number of transfers from which [`TransferPace`] estimates how much sharing a link slows
+/// transfers down.
 const MIN_PACE_SAMPLES: f64 = 2.0;
 /// Time between two sweeps over servers and attempts in flight.
 const SWEEP_INTERVAL_US: Micros = 50_000;
-/// Time over which this router's load is averaged to estimate the load from other routers.
+/// Time over which this router's load is averaged to estimate the load from other routers, which
+/// are assumed to send similar load.
 const LOAD_AVERAGING_TIME_S: f64 = 3.0;
 /// Delay of the next poll of the endpoint list after a failed one.
 const POLL_RETRY_US: Micros = 1_000_000;
 /// Assumed share of attempts that miss, before any attempt has ended.
 const INITIAL_MISS_SHARE: f64 = 0.5;
-/// Weight of one attempt in the share of attempts that miss.
+/// Weight of one attempt in the moving average of the share of attempts that miss.
 const MISS_SHARE_SAMPLE_WEIGHT: f64 = 0.01;
 /// Tag of the timer for the next sweep.
 const SWEEP_TIMER_TAG: u64 = 0;
@@ -54,12 +58,14 @@
     requests: RequestTable,
     purges: PurgeTable,
     popularity: Popularity,
-    /// Indexed by request class.
+    /// Latency estimates, indexed by request class.
     latency: Vec<LatencyEstimate>,
     /// The location's link, which carries all fills.
     link: LinkState,
     /// Share of the requests that may cause a fill from the origin.
     origin_admission: AdaptiveShare,
+    /// Whether an event was handled. The first event starts the sweeps and, if it is configured,
+    /// the polling of the endpoint list.
     started: bool,
 }
 
@@ -73,7 +79,7 @@
         // servers are worse predictors: they include requests that wait for fills, and are out of
         // date by the time they are used.
         let sample_weight = SWEEP_INTERVAL_US as f64 / 1e6 / LOAD_AVERAGING_TIME_S;
-        let in_flight = SharedLoadEstimate::new(settings.other_router_count(), sample_weight);
+        let shared_load = SharedLoadEstimate::new(settings.other_router_count(), sample_weight);
         let miss_share = MovingAverage::new(INITIAL_MISS_SHARE, MISS_SHARE_SAMPLE_WEIGHT);
         let classes = settings.classes.iter();
         Ok(Router {
@@ -81,15 +87,15 @@
             settings,
             seed,
             random: RandomStream::new(seed),
-            servers: ServerTable::new(pace, in_flight),
+            servers: ServerTable::new(pace, shared_load),
             requests: RequestTable::default(),
             purges: PurgeTable::new(MAX_REMEMBERED_PURGES),
             popularity: Popularity::new(
                 STATISTICS_HALF_LIFE_S,
                 MAX_COUNTED_KEYS,
-                FIRST_EVICTION_COUNT,
+                INITIAL_EVICTION_THRESHOLD,
             ),
-            link: LinkState::new(pace, in_flight, miss_share),
+            link: LinkState::new(pace, shared_load, miss_share),
             origin_admission: AdaptiveShare::new(admission::MIN_ORIGIN_ADMISSION_SHARE),
             started: false,
         })
@@ -146,20 +152,22 @@
     /// with the same id is in progress.
     fn handle_request(&mut self, now: Micros, request: Request) -> Option<Action> {
         let Some(index) = self.settings.class_index(&request.class) else {
-            // An unknown class has unknown idempotency, but the request was never sent, so a retry
-            // is safe.
+            // It is unknown whether a request of an unknown class is idempotent. A retry is safe
+            // because this request was never sent.
             return Some(Action::reject(request.id, None));
         };
         let (class, latency) = (&self.settings.classes[index], &mut self.latency[index]);
-        let size_based_s = self.settings.unshared_transfer_s(request.size_kb);
-        let unshared_transfer_s = size_based_s.unwrap_or(latency.typical_transfer_s());
+        let size_based_transfer_s = self.settings.unshared_transfer_s(request.size_kb);
+        let unshared_transfer_s = size_based_transfer_s.unwrap_or(latency.typical_transfer_s());
         // Clients may claim any size. The estimate ignores sizes that cannot be transferred within
         // the deadline of the class.
-        if size_based_s.is_some_and(|size_based_s| size_based_s * 1e6 <= class.deadline_us as f64) {
+        if size_based_transfer_s.is_some_and(|size_based_transfer_s| {
+            size_based_transfer_s * 1e6 <= class.deadline_us as f64
+        }) {
             latency.record_transfer(unshared_transfer_s);
         }
         let mut state = RequestState::new(now, &request, index, class, unshared_transfer_s);
-        state.size_known = size_based_s.is_some();
+        state.size_known = size_based_transfer_s.is_some();
         if !class.is_write {
             self.popularity.count_request(now, &mut state);
         }
@@ -169,6 +177,7 @@
 
     /// Sends a request to a server, or gives its final answer if no server may receive it.
     fn route(&mut self, now: Micros, id: RequestId) -> Option<Action> {
+        // Each routing decision uses a new random number.
         self.random.advance();
         let request = self.requests.get(id)?;
         let allowed = self.may_attempt(now, request);
@@ -192,7 +201,6 @@
         self.cancel_stuck_attempts(now, actions);
     }
 
-    /// Returns the class of a request.
     fn class(&self, request: &RequestState) -> &Class {
         &self.settings.classes[request.class_index]
     }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -132,7 +132,10 @@
     fn expected_by(&self, now: Micros, request: &RequestState, slow_s: f64) -> Micros {
         let mut expected_s =
             EXPECTED_OVERHEAD_S + EXPECTED_TRANSFER_TIMES * request.unshared_transfer_s;
-        if self.purges.any_group_purged_within(now, GROUP_REFILL_US) {
+        if self
+            .purges
+            .any_group_purge_notified_within(now, GROUP_REFILL_US)
+        {
             expected_s = expected_s.max(slow_s);
         }
         now + (expected_s * 1e6) as Micros
--- a/crates/routing/src/state/purges.rs
+++ b/crates/routing/src/state/purges.rs
@@ -4,14 +4,15 @@
 use crate::settings::Micros;
 use std::collections::BTreeMap;
 
-/// Makes the keys of purge groups differ from those of objects, which are in the same table.
-const GROUP_KEY_SALT: u64 = 0x94d0_49bb_1331_11eb;
+/// Separates the keys of purge groups from the keys of objects. Both are hashes in the same table
+/// and practically never equal.
+const PURGE_GROUP_KEY_SALT: u64 = 0x94d0_49bb_1331_11eb;
 
 /// The last purge of an object or a purge group.
 struct Purge {
     purged_at: Micros,
-    /// The servers are not notified of the purge and drop no copies. The router must enforce the
-    /// purge forever, so it is never evicted from the table.
+    /// Whether the servers are not notified of the purge. They then keep their purged copies, so
+    /// the router must enforce the purge forever, and the table never evicts it.
     permanent: bool,
 }
 
@@ -21,11 +22,12 @@
     capacity: usize,
     /// The purges by the hash of the object or of the purge group.
     purges: BTreeMap<u64, Purge>,
+    /// When the router was last notified of the purge of a whole purge group.
     last_group_purge_notified_at: Option<Micros>,
 }
 
-fn group_key(purge_group: u64) -> u64 {
-    hash::finalize(purge_group ^ GROUP_KEY_SALT)
+fn purge_group_key(purge_group: u64) -> u64 {
+    hash::finalize(purge_group ^ PURGE_GROUP_KEY_SALT)
 }
 
 impl PurgeTable {
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Records a purge that took place at `purged_at`. Without an object, the whole purge group was
-    /// purged.
+    /// Records a purge that took place at `purged_at`. The router is notified of it at `now`.
+    /// Without an object, the whole purge group was purged.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -51,7 +53,7 @@
         if object.is_none() {
             self.last_group_purge_notified_at = Some(now);
         }
-        let key = object.map_or(group_key(purge_group), hash::of_text);
+        let key = object.map_or(purge_group_key(purge_group), hash::of_text);
         let purge = self.purges.entry(key).or_insert(Purge {
             purged_at,
             permanent: false,
@@ -63,19 +65,21 @@
         }
     }
 
-    /// Moves the times of all purges that are not permanent earlier by `by_us` microseconds,
-    /// because the purges that the servers were notified of turned out to lie further in the past.
-    /// The times of permanent purges come from this router's own clock and need no correction.
+    /// Moves the times of all purges that are not permanent earlier by `by_us` microseconds. The
+    /// servers were notified of these purges too, and the purges turned out to lie further in the
+    /// past than recorded. The times of permanent purges come from this router's own clock and need
+    /// no correction.
     pub(crate) fn move_purge_times_earlier(&mut self, by_us: Micros) {
-        let temporary = self.purges.values_mut().filter(|purge| !purge.permanent);
-        for purge in temporary {
+        let not_permanent = self.purges.values_mut().filter(|purge| !purge.permanent);
+        for purge in not_permanent {
             purge.purged_at = purge.purged_at.saturating_sub(by_us);
         }
     }
 
+    /// Evicts the oldest purge that is not permanent, and all others that have the same time.
     fn evict_oldest(&mut self) {
-        let temporary = self.purges.values().filter(|purge| !purge.permanent);
-        let oldest = temporary.map(|purge| purge.purged_at).min();
+        let not_permanent = self.purges.values().filter(|purge| !purge.permanent);
+        let oldest = not_permanent.map(|purge| purge.purged_at).min();
         self.purges
             .retain(|_, purge| purge.permanent || Some(purge.purged_at) > oldest);
     }
@@ -107,13 +111,13 @@
 
     fn group_purged_at(&self, purge_group: u64) -> Option<Micros> {
         self.purges
-            .get(&group_key(purge_group))
+            .get(&purge_group_key(purge_group))
             .map(|purge| purge.purged_at)
     }
 
     /// Returns whether the router was notified of the purge of any whole purge group at most
     /// `within_us` microseconds before `now`.
-    pub(crate) fn any_group_purged_within(&self, now: Micros, within_us: Micros) -> bool {
+    pub(crate) fn any_group_purge_notified_within(&self, now: Micros, within_us: Micros) -> bool {
         let notified_at = self.last_group_purge_notified_at;
         notified_at.is_some_and(|notified_at| now <= notified_at + within_us)
     }
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -395,7 +395,7 @@
         Some(30),
         "the latest purge counts"
     );
-    assert!(!purges.any_group_purged_within(50, 100));
+    assert!(!purges.any_group_purge_notified_within(50, 100));
     purges.record(60, None, 4, 50, false);
     assert_eq!(
         purges.time_since_purge_us(50, object, 4),
@@ -404,7 +404,10 @@
     );
     assert!(purges.group_purged_within(4, 60, 10) && !purges.group_purged_within(4, 61, 10));
     assert!(!purges.group_purged_within(5, 60, 10));
-    assert!(purges.any_group_purged_within(70, 10) && !purges.any_group_purged_within(71, 10));
+    assert!(
+        purges.any_group_purge_notified_within(70, 10)
+            && !purges.any_group_purge_notified_within(71, 10)
+    );
 }
 
 /// Guards against the loss of a permanent purge, which only the router enforces.
--- a/crates/routing/tests/outlier_ejection.rs
+++ b/crates/routing/tests/outlier_ejection.rs
@@ -25,7 +25,9 @@
 fn an_unreachable_cache_server_returns_in_slow_start() {
     const OBJECTS: usize = 40;
     const MAX_FIRST_EJECTION_US: Micros = 2 * SECOND_US;
-    // The rule allows 3 x (0.2 + 0.16) x 8 seconds of work in one second. A transfer is 0.1 s.
+    // In the window of 1 s, the server may be sent the overload multiple (3) times its present
+    // capacity. After 2 s of the 10 s of slow start this is 0.2 + 0.8 x 2 / 10 = 0.2 + 0.16 of its
+    // full capacity of 8 transfers. 3 x (0.2 + 0.16) x 8 = 8.64 s of transfers, each of 0.1 s.
     const SLOW_START_BUDGET_ATTEMPTS: usize = 86;
     let mut harness = Harness::new(settings_without_direct_requests(), fleet());
     let first = harness.forward(VIDEO, "/o/a");
@@ -100,8 +102,8 @@
     assert!(!direct.fill.coalesce);
 }
 
-/// Guards against the ejection of cache servers for the failures of a parent: without provenance,
-/// the answer does not say which of the two failed.
+/// Guards against the ejection of cache servers for the failures of a parent: if answers report
+/// only whether they were cache hits, they do not say which of the two failed.
 #[test]
 fn a_parent_that_fails_without_a_reported_reason_is_ejected_and_the_cache_servers_are_not() {
     let settings = Settings {
@@ -109,10 +111,10 @@
         ..settings()
     };
     let mut harness = Harness::new(settings, fleet());
-    let mut failing_parent = None;
+    let mut first_fill_source = None;
     for index in 0..30 {
         let attempt = harness.forward(VIDEO, &format!("/o/{index}"));
-        let failing_parent = *failing_parent.get_or_insert(attempt.fill.source);
+        let failing_parent = *first_fill_source.get_or_insert(attempt.fill.source);
         if attempt.fill.source != failing_parent {
             harness.finish_with(&attempt, Outcome::Ok, FillResult::Filled);
             continue;
@@ -137,7 +139,7 @@
     }
     let fills_from_failing_parent = later
         .iter()
-        .filter(|attempt| Some(attempt.fill.source) == failing_parent)
+        .filter(|attempt| Some(attempt.fill.source) == first_fill_source)
         .count();
     assert!(
         fills_from_failing_parent <= 1,
@@ -184,7 +186,7 @@
 
 /// Guards against the ejection of working servers by requests that are themselves at fault.
 #[test]
-fn a_request_that_every_server_fails_is_rejected_and_ejects_no_server() {
+fn a_request_that_fails_at_every_server_is_rejected_and_ejects_no_server() {
     let mut harness = Harness::with_defaults();
     for index in 0..20 {
         let first = harness.forward(VIDEO, &format!("/o/unknown-{index}"));
@@ -216,7 +218,11 @@
         .map(|index| harness.forward(VIDEO, &format!("/o/{index}")))
         .filter(|attempt| attempt.server == server)
         .collect();
-    assert!(attempts.len() >= 4);
+    assert!(
+        attempts.len() >= 4,
+        "only {} attempts were forwarded to the cache server",
+        attempts.len()
+    );
     for attempt in &attempts {
         harness.finish(attempt, Outcome::Reset);
     }
