--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -28,7 +28,7 @@
 
 /// How long a process may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a process that exits before it is ready is started again.
+/// The maximum number of times that a process that exits before it is ready is started again.
 const MAX_RESTARTS_BEFORE_READY: u32 = 10;
 /// The delay before a process that exited before it was ready is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
@@ -40,7 +40,8 @@
 const BUS_PURGE_INTERVAL: Duration = Duration::from_millis(350);
 /// The interval between two purges that are sent through interconnects.
 const INTERCONNECT_PURGE_INTERVAL: Duration = Duration::from_millis(120);
-/// The interval at which the run checks itself and its processes.
+/// The interval at which the run checks whether its processes are running and whether this test
+/// program was scheduled in time.
 const WATCH_INTERVAL: Duration = Duration::from_millis(20);
 /// A check that is late by more than this means that this test program was not scheduled in time.
 const STALL_THRESHOLD: Duration = Duration::from_millis(80);
@@ -56,23 +57,26 @@
     control: Rc<ClientControl>,
     clients: Rc<Clients>,
     bus: EventBus,
-    /// When the proxy last started or got a new bus address, in milliseconds of the run.
+    /// When the proxy last started or got a new bus address, in milliseconds since the start of the
+    /// run.
     subscribed_since_ms: RefCell<u64>,
 }
 
-/// The simulated cluster of a run.
+/// The proxies of a run and the simulated services that they connect to.
 #[derive(Clone)]
 struct Cluster {
     run_state: SharedRunState,
     proxies: Rc<Vec<Rc<Proxy>>>,
+    /// The links by address index: 0 for the origin, then the cache servers.
     links: Rc<Vec<Link>>,
+    /// The servers by address index.
     servers: Rc<Vec<CacheServer>>,
     bus_mode: BusModeSender,
 }
 
-/// Runs a plan on the addresses of a slot and returns the final state of the run. The files of the
-/// run are written to `folder`. Returns an error if an address can't be bound or a process can't be
-/// started.
+/// Runs a plan and returns the final state of the run. The run uses the addresses of `slot`, so
+/// that runs in different slots can take place in parallel. The files of the run are written to
+/// `folder`. Returns an error if an address can't be bound or a process can't be started.
 pub async fn run_plan(plan: Plan, slot: u8, folder: &Path) -> io::Result<RunState> {
     let cluster = Cluster::start(plan, slot, folder).await?;
     cluster.start_proxies().await?;
@@ -105,6 +109,7 @@
 
 impl Cluster {
     async fn start(plan: Plan, slot: u8, folder: &Path) -> io::Result<Self> {
+        // The origin has an address too.
         let (proxies, address_count) = (plan.proxies, plan.caches + 1);
         let run_state: SharedRunState = Rc::new(RefCell::new(RunState::new(plan, slot)));
         let bus_mode: BusModeSender = Rc::new(watch::Sender::new(BusMode::Working));
@@ -138,6 +143,7 @@
 
     async fn start_proxies(&self) -> io::Result<()> {
         for proxy in self.proxies.iter() {
+            // The event bus starts on its first address.
             proxy.process.lock().await.start(false)?;
         }
         for proxy in self.proxies.iter() {
@@ -349,11 +355,12 @@
         if proxy.control.phase.get() != ProxyPhase::Serving {
             return;
         }
-        let is_second_bus = proxy.bus.switch_address();
-        let text = process.config(is_second_bus).to_string();
+        let uses_second_bus = proxy.bus.switch_address();
+        let text = process.config(uses_second_bus).to_string();
         let path = process.config_path();
         let written_bytes = truncated_for_ms.map_or(text.len(), |_| text.len() / 2);
-        // Errors are ignored: the file belongs to the run, and `start` has written it before.
+        // Errors are ignored because none is expected: only this run uses the file, and `start` has
+        // written it before.
         let _ = std::fs::write(&path, &text[..written_bytes]);
         process.signal(Signal::HUP);
         if let Some(truncated_for_ms) = truncated_for_ms {
@@ -368,6 +375,7 @@
         let mut random = fastrand::Rng::with_seed(seed.wrapping_mul(7));
         loop {
             sleep(BUS_PURGE_INTERVAL).await;
+            // On average, one of six purges is of a whole purge group.
             let object = (random.u32(0..6) > 0).then(|| random.u64(1..=24));
             let purge_group = random.u64(0..4);
             self.run_state
@@ -382,6 +390,7 @@
         loop {
             sleep(INTERCONNECT_PURGE_INTERVAL).await;
             let object = random.u64(1..=24);
+            // A proxy with disk faults is sent at least half of the purges on average.
             let proxy = match self.proxy_with_disk_faults() {
                 Some(proxy) if random.bool() => proxy,
                 _ => random.usize(..self.proxies.len()),
@@ -405,7 +414,8 @@
         }
     }
 
-    /// Returns the index of a proxy whose plan makes writes to its disk fail, if there is one.
+    /// Returns the index of the first proxy for which the plan injects faults into the writing or
+    /// syncing of files, or None if there is no such proxy.
     fn proxy_with_disk_faults(&self) -> Option<usize> {
         let run_state = self.run_state.borrow();
         let mut faults = run_state.plan.faults.iter();
@@ -467,11 +477,11 @@
     /// Reports a violation for each proxy that had enough time to receive the published events but
     /// did not receive them.
     fn check_discovery(&self) {
-        /// From the time when a proxy is ready or a fault of the bus ends until delivery.
+        /// The maximum time from when a proxy is ready or a fault of the bus ends until delivery.
         const RECOVERY_DELIVERY_MS: u64 = 1_000;
-        /// From the time when the bus falls silent until the proxy has connected again.
+        /// The maximum time from when the bus stops sending until the proxy has connected again.
         const SILENCE_DETECTION_MS: u64 = 3_000;
-        /// From publication until delivery on an open subscription.
+        /// The maximum time from publication until delivery on an open subscription.
         const SUBSCRIBED_DELIVERY_MS: u64 = 700;
         let mut run_state = self.run_state.borrow_mut();
         let now_ms = run_state.now_ms();
@@ -497,15 +507,16 @@
             .count();
         for proxy in self.proxies.iter() {
             let is_serving = proxy.control.phase.get() == ProxyPhase::Serving;
-            let able_since_ms = bus_recovered_ms.max(*proxy.subscribed_since_ms.borrow());
-            let had_time = able_since_ms + first_byte_delay_ms + RECOVERY_DELIVERY_MS < now_ms;
+            let can_receive_since_ms = bus_recovered_ms.max(*proxy.subscribed_since_ms.borrow());
+            let had_time =
+                can_receive_since_ms + first_byte_delay_ms + RECOVERY_DELIVERY_MS < now_ms;
             let has_own_fault = run_state.plan.faults.iter().any(|fault| {
                 fault.kind.proxy() == Some(proxy.index)
                     && fault.until_ms + RECOVERY_DELIVERY_MS + first_byte_delay_ms > now_ms
             });
             let delivered = run_state.deliveries[proxy.index]
                 .last()
-                .map_or(0, |(events, _)| *events);
+                .map_or(0, |(event_count, _)| *event_count);
             if is_serving
                 && had_time
                 && !has_own_fault
@@ -562,8 +573,8 @@
     }
 }
 
-/// Asks a proxy to purge an object through its interconnect. Returns the status of the response, or
-/// an error if the connection fails or the response has no status.
+/// Sends a request to purge an object to the interconnect of a proxy. Returns the status of the
+/// response, or an error if the connection fails or the response has no status.
 async fn post_purge_trigger(address: SocketAddr, object: u64) -> io::Result<u16> {
     let body = purge_trigger(&object_key(object)).to_string();
     let mut socket = TcpStream::connect(address).await?;
