--- a/crates/proxy/src/event_loop/connections.rs
+++ b/crates/proxy/src/event_loop/connections.rs
@@ -20,7 +20,8 @@
 pub(super) enum ConnectionRole {
     /// Connection from a web server that sends requests over FastCGI.
     FastCgiClient(fastcgi::Session),
-    /// Connection from a peer CDN, or from a client that a peer CDN redirected here.
+    /// Connection to the interconnect listener, from a peer CDN or from a client that a peer CDN
+    /// redirected here.
     InterconnectClient(Box<interconnect::Session>),
     /// Client connection in a lingering close. Its writing half is shut down, and its input is read
     /// and discarded until the client closes its half too.
@@ -28,7 +29,7 @@
         /// Number of bytes read and discarded so far.
         discarded_bytes: usize,
     },
-    /// Connection to a cache server.
+    /// Connection to a server of the endpoint list, which may be a cache server or the origin.
     Upstream(UpstreamConnection),
     /// Connection to the event bus.
     EventBus(EventStreamClient),
@@ -51,7 +52,7 @@
             ConnectionRole::FastCgiClient(_) => "client connection",
             ConnectionRole::InterconnectClient(_) => "interconnect connection",
             ConnectionRole::Lingering { .. } => "lingering connection",
-            ConnectionRole::Upstream(_) => "cache server connection",
+            ConnectionRole::Upstream(_) => "upstream connection",
             ConnectionRole::EventBus(_) => "event bus connection",
             ConnectionRole::Consul(_) => "Consul connection",
             ConnectionRole::Notification(_) => "notification connection",
@@ -75,11 +76,11 @@
     /// The connection table is full.
     #[error("the connection table is full")]
     TableFull,
-    /// The cache server has the maximum number of connections.
-    #[error("the cache server has the maximum number of connections")]
+    /// The proxy already has the maximum number of connections to the server.
+    #[error("the proxy already has the maximum number of connections to the server")]
     ServerFull,
-    /// The cache server is no longer in the endpoint list.
-    #[error("the cache server is no longer in the endpoint list")]
+    /// The server is no longer in the endpoint list.
+    #[error("the server is no longer in the endpoint list")]
     ServerGone,
     /// This machine temporarily lacks a file descriptor, memory, a port or a route. The error does
     /// not indicate a fault of the peer.
@@ -106,17 +107,18 @@
     pub(super) role: ConnectionRole,
     /// Activity and memory use of a client connection. Unused for other connections.
     pub(super) activity: ClientActivity,
-    /// Whether a retry is scheduled, because reading the connection or registering its interest
-    /// with the poller failed.
+    /// Whether a retry is scheduled, because the connection could not be read or registered with
+    /// the poller.
     retry_scheduled: bool,
-    /// Time since which unread input may be waiting, in microseconds. Set while the connection
-    /// could not be accepted, watched or read for a temporary reason.
+    /// Since when the socket may contain input that the proxy could not read, in microseconds. Set
+    /// if accepting the connection, registering it with the poller or reading it failed for a
+    /// temporary reason, and cleared by the next successful read.
     pub(super) unread_since: Option<Micros>,
 }
 
 impl Slab<Connection> {
-    /// Returns the transport and the protocol state of a connection to a cache server, or `None` if
-    /// the key has no such connection.
+    /// Returns the transport and the protocol state of an upstream connection, or `None` if the key
+    /// does not belong to one.
     pub(super) fn upstream(&self, key: SlabKey) -> Option<(&BufferedSocket, &UpstreamConnection)> {
         let connection = self.get(key)?;
         match &connection.role {
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Returns the transport and the session of a FastCGI client, or `None` if the key has no such
-    /// connection.
+    /// Returns the transport and the session of a FastCGI client, or `None` if the key does not
+    /// belong to one.
     pub(super) fn fastcgi_client_mut(
         &mut self,
         key: SlabKey,
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Returns the transport and the session of an interconnect client, or `None` if the key has no
-    /// such connection.
+    /// Returns the transport and the session of an interconnect client, or `None` if the key does
+    /// not belong to one.
     pub(super) fn interconnect_client_mut(
         &mut self,
         key: SlabKey,
@@ -234,7 +236,7 @@
     }
 
     /// Closes an outgoing connection that was not established within the connect timeout. A
-    /// connection to the event bus is kept open instead, in addition to a new one.
+    /// connection to the event bus may stay open instead while the proxy opens a second one.
     pub(super) fn handle_connect_timeout(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
@@ -244,8 +246,8 @@
         }
         match connection.role {
             ConnectionRole::EventBus(_) => self.handle_event_bus_connect_timeout(now, key),
-            // The connection may have been established without being noticed, because reading or
-            // watching it failed on this machine.
+            // The connection may have been established without the proxy noticing, because reading
+            // it or registering it with the poller failed on this machine.
             _ if connection.retry_scheduled => self.close(now, key, CloseReason::LocalFailure),
             _ => self.close(now, key, CloseReason::ConnectTimeout),
         }
@@ -270,8 +272,9 @@
             .is_some_and(|connection| connection.role.is_client())
     }
 
-    /// Updates the events for which the poller watches a connection. A failed update is retried
-    /// after a short wait, because an unwatched connection would never be read or written again.
+    /// Updates the events for which a connection is registered with the poller. A failed update is
+    /// retried after a short wait, because otherwise the connection might never be read or written
+    /// again.
     pub(super) fn update_poll_interest(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -280,15 +283,15 @@
             return;
         };
         log::debug!(
-            "cannot watch connection {:x}, retrying in {} ms: {e}",
+            "cannot register connection {:x} with the poller, retrying in {} ms: {e}",
             key.to_u64(),
             self.limits.local_error_retry_interval_us / 1_000
         );
         self.schedule_connection_retry(now, key);
     }
 
-    /// Schedules a retry for a connection that could not be read or watched. The connection may
-    /// have unread input, so it is not treated as idle until it is read.
+    /// Schedules a retry for a connection that could not be read or registered with the poller. The
+    /// connection may have unread input, so it is not treated as idle until it is read.
     pub(super) fn schedule_connection_retry(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -300,9 +303,9 @@
         }
     }
 
-    /// Registers the interest of a connection with the poller again, and reads what has arrived
-    /// meanwhile. The read is necessary because the poller reports nothing for a connection without
-    /// new input, and a shutdown would wait for the connection.
+    /// Registers a connection with the poller again, and reads it. Only a read clears
+    /// `unread_since`. If the connection has no input, the poller would not trigger a read, and a
+    /// shutdown would wait for the connection because it would not be treated as idle.
     pub(super) fn retry_connection(&mut self, now: Micros, key: SlabKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -316,8 +319,8 @@
     /// closing it while bytes are unread or still arriving would reset the connection, and output
     /// that the client has not yet received would be lost.
     pub(super) fn close_gracefully(&mut self, now: Micros, key: SlabKey, reason: CloseReason) {
-        // Answers that are ready are still written. The proxy does not wait for a client that does
-        // not read them.
+        // Writes the answers that are ready, as far as the socket accepts them without blocking.
+        // The proxy does not wait for a client that does not read its answers.
         self.write_fastcgi_client(key);
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -374,17 +377,17 @@
         }
     }
 
-    /// Logs why a connection is closed. Checks that all requests on a client connection are
-    /// answered, unless the client itself has caused the close.
+    /// Logs why a connection is closed. Checks that a client connection has no unanswered requests,
+    /// unless the client itself has caused the close.
     fn log_close(&self, key: SlabKey, role: &ConnectionRole, reason: CloseReason) {
         log::debug!("closing {} {:x}: {reason}", role.name(), key.to_u64());
         let Some(session) = role.client_session() else {
             return;
         };
-        let is_answered = session.unanswered_requests() == 0 || reason.is_caused_by_peer();
+        let is_close_allowed = session.unanswered_requests() == 0 || reason.is_caused_by_peer();
         self.request_table.invariants.check(
             Invariant::CloseOnlyIfAnswered,
-            is_answered,
+            is_close_allowed,
             format_args!("{}: {reason}", self.request_ids(session)),
         );
     }
--- a/crates/proxy/src/frontend/fastcgi/outgoing.rs
+++ b/crates/proxy/src/frontend/fastcgi/outgoing.rs
@@ -1,13 +1,14 @@
-//! The queue of answers that remain to be written on a connection.
+//! The queue of answers and management records that remain to be written to a connection.
 //!
-//! Answers are written one after the other. Each is split into records that fit into the free space
-//! of the connection's output buffer.
+//! Entries are written to the connection's output buffer one after the other. A response is split
+//! into STDOUT records that fit into the free space of the buffer.
 
 use crate::net::RingBuffer;
 use crate::protocol::fastcgi::{self as wire, record_type, HEADER_BYTES};
 use std::collections::VecDeque;
 
-/// Length of the record that ends the STDOUT stream plus the END_REQUEST record.
+/// Length of the records that end an answer: the empty record that ends its STDOUT stream, and the
+/// END_REQUEST record. An answer without a response needs only the latter.
 const END_RECORDS_BYTES: usize = HEADER_BYTES + wire::END_REQUEST_RECORD_BYTES;
 /// Minimum content of a STDOUT record other than the last one of a response. It keeps the answer to
 /// a client that reads slowly from being sent in fragments of a few bytes.
@@ -15,7 +16,7 @@
 
 /// An answer to a request.
 pub(super) struct OutgoingAnswer {
-    /// Id of the FastCGI request.
+    /// FastCGI id of the request.
     pub request_id: u16,
     /// CGI response, or empty if the answer has only a protocol status.
     pub response: Vec<u8>,
@@ -26,10 +27,10 @@
 }
 
 /// An entry of the queue.
-enum Outgoing {
+enum QueueEntry {
     Answer {
         answer: OutgoingAnswer,
-        /// Number of response bytes that are already written.
+        /// Number of response bytes that are already written to the output buffer.
         written_bytes: usize,
     },
     /// An encoded management record.
@@ -37,20 +38,24 @@
 }
 
 /// Result of writing the next part of an entry to the output buffer.
-enum Progress {
+enum WriteResult {
     /// The output buffer has too little free space, and nothing was written.
     OutputFull,
-    /// This number of response bytes was written, and more remains.
+    /// A part of the entry was written, which contains this number of response bytes. More remains
+    /// to be written.
     Partial(usize),
-    /// The entry is now completely written. The number counts the bytes of this step that
-    /// `unsent_bytes` includes.
+    /// The last part of the entry was written. The number of bytes by which this reduces
+    /// `OutgoingQueue::unsent_bytes` is the length of a management record, and 0 for an answer,
+    /// whose end records are not counted there.
     Complete(usize),
 }
 
-/// FIFO queue of answers that remain to be written.
+/// FIFO queue of answers and management records that remain to be written.
 #[derive(Default)]
 pub(super) struct OutgoingQueue {
-    queue: VecDeque<Outgoing>,
+    queue: VecDeque<QueueEntry>,
+    /// Number of bytes of responses and management records that are not yet written to the output
+    /// buffer.
     unsent_bytes: usize,
     close_requested: bool,
 }
@@ -65,19 +70,22 @@
         self.queue.is_empty()
     }
 
-    /// Returns the number of bytes of responses and management records that are not yet written.
+    /// Returns the number of bytes of responses and management records that are not yet written to
+    /// the output buffer.
     pub(super) fn unsent_bytes(&self) -> usize {
         self.unsent_bytes
     }
 
-    /// Returns whether an answer was written after which the client wants the connection closed.
+    /// Returns whether the client asked to close the connection after an answer that is now
+    /// completely written.
     pub(super) fn close_requested(&self) -> bool {
         self.close_requested
     }
 
+    /// Adds an answer.
     pub(super) fn push_answer(&mut self, answer: OutgoingAnswer) {
         self.unsent_bytes += answer.response.len();
-        self.queue.push_back(Outgoing::Answer {
+        self.queue.push_back(QueueEntry::Answer {
             answer,
             written_bytes: 0,
         });
@@ -88,16 +96,16 @@
         let mut record = Vec::new();
         wire::write_record(&mut record, record_type, wire::NULL_REQUEST_ID, content);
         self.unsent_bytes += record.len();
-        self.queue.push_back(Outgoing::Management(record));
+        self.queue.push_back(QueueEntry::Management(record));
     }
 
     /// Writes as much as fits into the output buffer.
     pub(super) fn write(&mut self, output: &mut RingBuffer) {
         while let Some(first) = self.queue.front_mut() {
             match first.write_next(output) {
-                Progress::OutputFull => return,
-                Progress::Partial(bytes) => self.unsent_bytes -= bytes,
-                Progress::Complete(bytes) => {
+                WriteResult::OutputFull => return,
+                WriteResult::Partial(bytes) => self.unsent_bytes -= bytes,
+                WriteResult::Complete(bytes) => {
                     self.unsent_bytes -= bytes;
                     self.close_requested |= first.closes_connection();
                     self.queue.pop_front();
@@ -107,7 +115,8 @@
     }
 }
 
-impl Outgoing {
+impl QueueEntry {
+    /// Returns whether the client asked to close the connection after this entry.
     fn closes_connection(&self) -> bool {
         match self {
             Self::Answer { answer, .. } => !answer.keep_connection,
@@ -115,7 +124,8 @@
         }
     }
 
-    fn write_next(&mut self, output: &mut RingBuffer) -> Progress {
+    /// Writes the next part of the entry.
+    fn write_next(&mut self, output: &mut RingBuffer) -> WriteResult {
         match self {
             Self::Management(record) => write_management_record(record, output),
             Self::Answer {
@@ -126,22 +136,22 @@
                 answer,
                 written_bytes,
             } => {
-                let progress = write_stdout_record(answer, *written_bytes, output);
-                if let Progress::Partial(bytes) = progress {
+                let result = write_stdout_record(answer, *written_bytes, output);
+                if let WriteResult::Partial(bytes) = result {
                     *written_bytes += bytes;
                 }
-                progress
+                result
             }
         }
     }
 }
 
-fn write_management_record(record: &[u8], output: &mut RingBuffer) -> Progress {
+fn write_management_record(record: &[u8], output: &mut RingBuffer) -> WriteResult {
     if output.free_space() < record.len() {
-        return Progress::OutputFull;
+        return WriteResult::OutputFull;
     }
     output.push(record);
-    Progress::Complete(record.len())
+    WriteResult::Complete(record.len())
 }
 
 /// Writes the next STDOUT record of a response, of which `written_bytes` bytes are already written.
@@ -149,12 +159,14 @@
     answer: &OutgoingAnswer,
     written_bytes: usize,
     output: &mut RingBuffer,
-) -> Progress {
+) -> WriteResult {
     let unsent = &answer.response[written_bytes..];
-    let room = output.free_space().saturating_sub(HEADER_BYTES);
-    let length = room.min(unsent.len()).min(wire::MAX_CONTENT_BYTES);
+    let available_bytes = output.free_space().saturating_sub(HEADER_BYTES);
+    let length = available_bytes
+        .min(unsent.len())
+        .min(wire::MAX_CONTENT_BYTES);
     if length < unsent.len().min(MIN_STDOUT_CONTENT_BYTES) {
-        return Progress::OutputFull;
+        return WriteResult::OutputFull;
     }
     let mut record = Vec::with_capacity(HEADER_BYTES + length);
     wire::write_record(
@@ -164,12 +176,13 @@
         &unsent[..length],
     );
     output.push(&record);
-    Progress::Partial(length)
+    WriteResult::Partial(length)
 }
 
-fn write_end_records(answer: &OutgoingAnswer, output: &mut RingBuffer) -> Progress {
+/// Writes the records that end an answer.
+fn write_end_records(answer: &OutgoingAnswer, output: &mut RingBuffer) -> WriteResult {
     if output.free_space() < END_RECORDS_BYTES {
-        return Progress::OutputFull;
+        return WriteResult::OutputFull;
     }
     let mut records = Vec::with_capacity(END_RECORDS_BYTES);
     // Without a response no STDOUT record was written, so there is no STDOUT stream to end.
@@ -178,5 +191,5 @@
     }
     wire::write_end_request(&mut records, answer.request_id, answer.protocol_status);
     output.push(&records);
-    Progress::Complete(0)
+    WriteResult::Complete(0)
 }
--- a/crates/proxy/src/request_table/attempt.rs
+++ b/crates/proxy/src/request_table/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt: one request sent to one cache server, its time limits, and how it ended.
+//! An attempt to serve a request at one server: its parameters, its time limits, and how it ended.
 
 use super::request::{Content, RequestKey};
 use super::trace::AttemptTrace;
@@ -16,17 +16,19 @@
 /// The parameters with which an upstream connection sends an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptSpec {
-    /// The cache server that the attempt is sent to.
+    /// The server that the attempt is sent to. It may be a cache server or the origin.
     pub server: ServerId,
     /// How the server fills a miss. `None` means that it may serve only what it has cached.
     pub fill: Option<Fill>,
     /// Maximum age of an acceptable copy, in microseconds. This is the router's bound, or a lower
-    /// one set by a purge that arrived before any byte of the attempt was written. With `None`, the
-    /// freshness lifetime of the class applies.
+    /// one set by a purge that arrived later. A purge does not affect an attempt whose command is
+    /// already in the output buffer. With `None`, the freshness lifetime of the class applies.
     pub max_age_us: Option<Micros>,
-    /// When the attempt is cancelled if it has not ended before.
+    /// Time at which the attempt is cancelled if it has not ended before, in microseconds on the
+    /// clock of the event loop.
     pub deadline: Micros,
-    /// The attempt must not be sent later than this.
+    /// Latest time to send the attempt, in microseconds on the clock of the event loop, or `None`
+    /// for no limit.
     pub send_by: Option<Micros>,
 }
 
@@ -43,8 +45,8 @@
     pub load: Option<LoadReport>,
     /// The content of the answer. Used only with the outcome `Ok`.
     pub content: Option<Content>,
-    /// When the copy in the answer was created, which is when the origin sent it out: a timestamp
-    /// of the origin, in Unix microseconds. `None` if the answer does not name it.
+    /// When the copy in the answer was created, in Unix microseconds. The origin sets this
+    /// timestamp when it sends the copy. `None` if the answer carries no timestamp.
     pub copy_created_at_us: Option<u64>,
 }
 
@@ -65,11 +67,14 @@
 /// The router's decision about the next attempt of a request.
 #[derive(Clone, Copy)]
 pub(super) struct RoutingDecision {
+    /// The server that the attempt is sent to.
     pub(super) server: ServerId,
     /// Timeout of the attempt, counted from its start. With `None`, only the deadline of the
     /// request applies.
     pub(super) timeout_us: Option<Micros>,
+    /// How the server fills a miss. `None` means that it may serve only what it has cached.
     pub(super) fill: Option<Fill>,
+    /// Latest time to send the attempt, or `None` for no limit.
     pub(super) send_by: Option<Micros>,
 }
 
@@ -79,7 +84,8 @@
     pub(super) number: u32,
     started_at: Micros,
     pub(super) spec: AttemptSpec,
-    /// Set once the attempt is cancelled: the outcome to report when the cancellation is confirmed.
+    /// The outcome to report when the cancellation of the attempt is confirmed. `None` if the
+    /// attempt is not cancelled.
     cancellation_outcome: Option<Outcome>,
 }
 
@@ -128,9 +134,10 @@
         self.spec.max_age_us = Some(bound);
     }
 
-    /// Returns the outcome to record for a reported one. If an answer was in transit when the
-    /// attempt was cancelled, the outcome of that answer stands. Only a confirmed cancellation is
-    /// replaced by the outcome with which the attempt was cancelled.
+    /// Returns the outcome to record if the upstream connection reports the outcome `reported`. A
+    /// confirmed cancellation is recorded with the outcome that `cancel` set. Any other outcome is
+    /// recorded as reported, for example if the answer was in transit when the attempt was
+    /// cancelled.
     pub(super) fn effective_outcome(&self, reported: Outcome) -> Outcome {
         match reported {
             Outcome::Cancelled => self.cancellation_outcome.unwrap_or(reported),
@@ -138,7 +145,7 @@
         }
     }
 
-    /// Returns the entry of the ended attempt for the request's trace.
+    /// Returns the entry for this attempt in the trace of its request. The attempt ended at `now`.
     pub(super) fn attempt_trace(&self, now: Micros, result: &AttemptResult) -> AttemptTrace {
         AttemptTrace {
             server: self.spec.server,
@@ -151,8 +158,8 @@
         }
     }
 
-    /// Returns the report on the ended attempt for the router. `settled` says that the request
-    /// needs no further answer.
+    /// Returns the report to the router that the attempt ended at `now`. `settled` says whether the
+    /// request has its final answer or needs none, because its client disconnected.
     pub(super) fn report(
         &self,
         now: Micros,
--- a/crates/proxy/src/sys/poll.rs
+++ b/crates/proxy/src/sys/poll.rs
@@ -11,7 +11,7 @@
     Ok(epoll::create(epoll::CreateFlags::CLOEXEC)?)
 }
 
-/// Registers a socket under a token.
+/// Registers a socket for the events in `flags`. Reported events of the socket carry `token`.
 pub fn epoll_add(
     epoll_fd: &OwnedFd,
     socket: impl AsFd,
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -4,7 +4,8 @@
 
 /// The id of a cache server, parent or origin in the endpoint list.
 pub type ServerId = u64;
-/// The id of a client's request. Ids are never reused.
+/// The number by which the router and its caller identify a client's request. The caller assigns it
+/// and never reuses it, unlike an id that a client chooses.
 pub type RequestId = u64;
 
 /// The lifecycle state of a server.
@@ -38,7 +39,8 @@
     pub weight: f64,
     /// The server's lifecycle state.
     pub state: EndpointState,
-    /// When the server last started, or None if that was long ago.
+    /// When the server last started, on the router's clock. None if that is unknown, in which case
+    /// the server counts as started long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -49,7 +51,7 @@
     Snapshot,
     /// Changed entries only.
     Delta,
-    /// Nothing, because the poll for the list failed.
+    /// Nothing, because the list could not be fetched. The router requests it again later.
     Failed,
 }
 
@@ -66,11 +68,11 @@
     pub object: String,
     /// Number of the requested part of the object.
     pub part: u64,
-    /// The purge group of the object.
+    /// Number of the purge group that contains the object.
     pub purge_group: u64,
     /// Size of this part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time until the client stops waiting.
+    /// Time until the client stops waiting for the answer.
     pub remaining_us: Micros,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
@@ -155,8 +157,8 @@
     pub in_flight: Option<f64>,
     /// The server's recent share of cache hits, from 0 to 1.
     pub hit_ratio: Option<f64>,
-    /// For a cache server, the utilization of its location's link. For a parent, the number of
-    /// fetches in flight.
+    /// For a cache server, the utilization of the network link of its location. A parent reports
+    /// the number of its fetches in flight in this field.
     pub link_utilization: Option<f64>,
 }
 
@@ -197,15 +199,16 @@
         server: ServerId,
         /// How the probe ended.
         outcome: Outcome,
-        /// Time since the probe was sent.
+        /// Time from the sending of the probe to its end.
         took_us: Micros,
         /// The server's load report, or None if it sent none.
         load: Option<LoadReport>,
     },
-    /// Timestamps that were already reported were too late on this router's clock and move earlier.
-    /// This applies to server starts and to purges that are not permanent.
+    /// The times of all server starts and purges that the router knows lie further in the past than
+    /// reported, because the router's clock is late by more than was known. Permanent purges are
+    /// not affected.
     TimestampsMovedEarlier {
-        /// How far the timestamps move, in microseconds.
+        /// How much earlier these times are, in microseconds.
         by_us: Micros,
     },
     /// An object or a whole purge group was purged.
@@ -216,8 +219,8 @@
         purge_group: u64,
         /// Time since the purge.
         age_us: Micros,
-        /// Whether the purge never expires. Servers are not notified of such a purge and do not
-        /// drop their copies by themselves.
+        /// Whether the purge never expires. Servers are not notified of a permanent purge, so they
+        /// keep their purged copies.
         permanent: bool,
     },
 }
@@ -233,21 +236,21 @@
     pub server: ServerId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since the attempt was sent.
+    /// Time from the router's decision to send the attempt to the end of the attempt.
     pub took_us: Micros,
     /// Whether the request is settled: it has its final answer, or its client disconnected. The
     /// router then neither starts a further attempt nor gives an answer.
     pub settled: bool,
     /// Where the answer came from, or why the fill failed.
     pub fill_result: FillResult,
-    /// Time to first byte of the fill.
+    /// Time to first byte of the fill, or 0 if there was no fill or the time is unknown.
     pub fill_ttfb_us: Micros,
     /// The server's load report, or None if it sent none.
     pub load: Option<LoadReport>,
 }
 
 impl AttemptReport {
-    /// Returns the time since the attempt was sent, in seconds.
+    /// Returns the duration of the attempt in seconds.
     pub(crate) fn took_s(&self) -> f64 {
         self.took_us as f64 / 1e6
     }
