--- a/crates/proxy/tests/event_bus_messages.rs
+++ b/crates/proxy/tests/event_bus_messages.rs
@@ -52,8 +52,9 @@
     );
 }
 
-/// Entries may leave out optional fields, and a start time is in milliseconds on the wire and in
-/// microseconds here. A start time of 0 means that it is unknown.
+/// Entries may leave out optional fields, which then have defaults. A start time is in milliseconds
+/// in the message and must be converted to microseconds. A start time of 0 means that it is
+/// unknown.
 #[test]
 fn the_fields_of_an_entry_have_defaults_and_units() {
     let without_optional_fields =
@@ -130,10 +131,10 @@
     }
 }
 
-/// A kind of event that this version does not know must not end the stream. Its number must count,
-/// or it would be requested again for ever.
+/// An event of a kind that this version does not know must not end the stream. Its offset must be
+/// read, or the proxy would request the event again after each reconnect.
 #[test]
-fn an_event_of_an_unknown_kind_is_read_as_its_number_alone() {
+fn an_event_of_an_unknown_kind_is_read_as_its_offset_alone() {
     let message = read_event(&json!({"offset": 43, "later": {}})).unwrap();
     assert_eq!((message.offset, message.event), (43, None));
     assert!(read_event(&json!({"later": {}}))
@@ -143,13 +144,14 @@
 }
 
 /// After a reconnect, the stream may repeat events. Each event must be handled once, and comments
-/// and events without a number must be skipped.
+/// and events without an offset must be skipped.
 #[test]
 fn a_stream_yields_each_event_once_and_skips_all_else() {
     let request_text = String::from_utf8(request("bus:8500", 41)).unwrap();
     assert!(request_text.contains("\r\nLast-Event-ID: 41\r\n"));
     assert!(request_text.contains("\r\nCache-Control: no-cache\r\n"));
 
+    // The connection opens at 3 us and is read at 9 us.
     let mut client = EventStreamClient::new(&Limits::for_machine(1024, 192), 3);
     let mut last_offset = 41;
     let stream = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: comment\n\n\
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -13,8 +13,8 @@
 
 /// Time at which each test starts, in microseconds.
 const NOW_US: u64 = 1_000_000_000;
-/// How long the client of a `read_request` waits for its answer.
-const CLIENT_BUDGET_US: u64 = 1_000_000;
+/// How long the client of a test request waits for its answer, unless a test sets another time.
+const CLIENT_TIME_LIMIT_US: u64 = 1_000_000;
 
 /// Returns an entry of the endpoint list.
 fn listed_server(uid: &str, zone: &str, kind: &str, state: EndpointState) -> ListedServer {
@@ -57,6 +57,7 @@
     request_table
 }
 
+/// Returns the limits of a machine with 1024 file descriptors and 192 MB of memory.
 fn limits() -> Limits {
     Limits::for_machine(1024, 192)
 }
@@ -76,7 +77,7 @@
         class: "photo".into(),
         object: "00000000000000a1".into(),
         size_kb: 40.0,
-        remaining_us: CLIENT_BUDGET_US,
+        remaining_us: CLIENT_TIME_LIMIT_US,
         body: vec![0; body_bytes],
         ..ClientRequest::default()
     }
@@ -87,7 +88,7 @@
     request_with_body(0)
 }
 
-/// Admits a request at `NOW_US` for the client of the given stream.
+/// Admits a request at `NOW_US`, whose answer goes to the given stream.
 fn admit(
     request_table: &mut RequestTable,
     stream: u32,
@@ -105,7 +106,7 @@
 
 /// Admits a request and returns its first attempt, the time of its deadline timer in microseconds,
 /// and the timer.
-fn admit_until_deadline(request_table: &mut RequestTable) -> (AttemptId, u64, RequestTimer) {
+fn admit_with_deadline_timer(request_table: &mut RequestTable) -> (AttemptId, u64, RequestTimer) {
     admit(request_table, 1, read_request()).unwrap();
     let commands = request_table.take_commands();
     let attempt = started_attempt(&commands).unwrap();
@@ -119,8 +120,8 @@
 
 /// Notifies the table, 20 us after `NOW_US`, of a purge of an object at the time `at`.
 fn purge_object(request_table: &mut RequestTable, object: &str, at: u64) {
-    // A purge of another object that arrives at its own time shows that the clock is not behind
-    // the timestamps of purges.
+    // A purge of another object that arrives at its own timestamp shows that the local clock is not
+    // ahead of the timestamps of purges.
     request_table.handle_purge_event(NOW_US + 20, Some("other".to_owned()), 0, NOW_US + 20);
     request_table.handle_purge_event(NOW_US + 20, Some(object.to_owned()), 0, at);
 }
@@ -159,7 +160,7 @@
 }
 
 /// Returns the result of an attempt that was answered with an object.
-fn served() -> AttemptResult {
+fn served_result() -> AttemptResult {
     AttemptResult {
         content: Some(Content::Object {
             bytes: b"x".to_vec(),
@@ -176,22 +177,22 @@
     let mut request_table = new_table(&limits());
     let (request_key, attempt) = admit_and_start(&mut request_table);
     assert_eq!(attempt.request_key, request_key);
-    request_table.attempt_ended(NOW_US + 10, attempt, served());
+    request_table.attempt_ended(NOW_US + 10, attempt, served_result());
     assert_eq!(answers(&request_table.take_commands()).len(), 1);
 
-    request_table.attempt_ended(NOW_US + 11, attempt, served());
+    request_table.attempt_ended(NOW_US + 11, attempt, served_result());
     request_table.timer_fired(NOW_US + 2_000_000, RequestTimer::Deadline(request_key));
     assert_eq!(request_table.take_commands(), []);
     assert!(request_table.is_idle());
 }
 
-/// An answer needs time to reach the client. One sent exactly when the client's time is over would
-/// arrive too late.
+/// An answer needs time to reach the client. An answer sent exactly at the client's time limit
+/// would arrive too late.
 #[test]
 fn the_deadline_precedes_the_end_of_the_clients_wait_by_the_answer_lead() {
     let mut request_table = new_table(&limits());
-    let (_, at, _) = admit_until_deadline(&mut request_table);
-    assert_eq!(at, NOW_US + CLIENT_BUDGET_US - limits().answer_lead_us);
+    let (_, at, _) = admit_with_deadline_timer(&mut request_table);
+    assert_eq!(at, NOW_US + CLIENT_TIME_LIMIT_US - limits().answer_lead_us);
 }
 
 /// At the deadline the client must get an answer with retry advice, and the attempt must not go on
@@ -199,7 +200,7 @@
 #[test]
 fn at_the_deadline_the_attempt_is_cancelled_and_the_request_rejected() {
     let mut request_table = new_table(&limits());
-    let (attempt, at, timer) = admit_until_deadline(&mut request_table);
+    let (attempt, at, timer) = admit_with_deadline_timer(&mut request_table);
 
     request_table.timer_fired(at, timer);
     let commands = request_table.take_commands();
@@ -220,11 +221,11 @@
 #[test]
 fn a_result_after_the_deadline_gives_no_answer() {
     let mut request_table = new_table(&limits());
-    let (attempt, at, timer) = admit_until_deadline(&mut request_table);
+    let (attempt, at, timer) = admit_with_deadline_timer(&mut request_table);
     request_table.timer_fired(at, timer);
     assert_eq!(answers(&request_table.take_commands()).len(), 1);
 
-    request_table.attempt_ended(at + 1, attempt, served());
+    request_table.attempt_ended(at + 1, attempt, served_result());
     assert_eq!(answers(&request_table.take_commands()), []);
 }
 
@@ -234,7 +235,8 @@
 fn a_retry_starts_only_after_the_attempt_before_has_ended() {
     let mut request_table = new_table(&limits());
     let (_, first) = admit_and_start(&mut request_table);
-    // The router's timer fires until the router considers the attempt stalled and cancels it.
+    // The router's periodic timer, which has tag 0, fires until the router considers the attempt
+    // stalled and cancels it.
     let mut now = NOW_US;
     let mut cancelled = false;
     while !cancelled && now < NOW_US + 900_000 {
@@ -257,7 +259,7 @@
     assert_eq!(answers(&commands), []);
     assert_eq!(second.number, 1);
 
-    request_table.attempt_ended(now, second, served());
+    request_table.attempt_ended(now, second, served_result());
     assert_eq!(answers(&request_table.take_commands()).len(), 1);
 }
 
@@ -267,12 +269,14 @@
 fn an_answer_that_crosses_its_cancellation_is_still_served() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
+    // The router's periodic timer, which has tag 0, fires for 850 ms. Within this time the router
+    // considers the attempt stalled and cancels it.
     for tick in 1..18 {
         request_table.timer_fired(NOW_US + 50_000 * tick, RequestTimer::Router(0));
     }
     assert!(is_cancelled(&request_table.take_commands(), attempt));
 
-    request_table.attempt_ended(NOW_US + 900_000, attempt, served());
+    request_table.attempt_ended(NOW_US + 900_000, attempt, served_result());
     assert!(matches!(
         answers(&request_table.take_commands())[..],
         [Answer::Served(_)]
@@ -303,8 +307,9 @@
     assert!(request_table.is_idle());
 }
 
-/// Where the settings forbid cancellation, an attempt may already be running. It can only be
-/// removed from the queue, and must stay known until its end is reported.
+/// Without cancellation, an attempt that is already written continues when its client disconnects.
+/// Only an attempt of which no byte is written can be removed. The table does not know which of
+/// them applies, so it must keep the attempt until its end is reported.
 #[test]
 fn without_cancellation_an_abandoned_attempt_is_dequeued_but_stays_in_flight() {
     let mut settings = sample_settings();
@@ -337,7 +342,7 @@
 
     let attempt = started_attempt(&request_table.take_commands()).unwrap();
     assert_eq!(attempt.request_key, first);
-    request_table.attempt_ended(NOW_US, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served_result());
     assert!(admit(&mut request_table, 2, request_with_body(60)).is_ok());
 }
 
@@ -358,7 +363,7 @@
 
     let attempt = started_attempt(&request_table.take_commands()).unwrap();
     assert_eq!(attempt.request_key, first);
-    request_table.attempt_ended(NOW_US, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served_result());
     assert!(admit(&mut request_table, 3, read_request()).is_ok());
 }
 
@@ -380,7 +385,7 @@
         "an id was admitted twice, but a cache server would treat both requests as one"
     );
 
-    request_table.attempt_ended(NOW_US, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served_result());
     assert!(admit(&mut request_table, 2, same_id).is_ok());
 }
 
@@ -428,7 +433,7 @@
     assert_eq!(
         request_table.server_address(server_id("b")),
         None,
-        "a server that left the list is still stored, and servers with new ids keep joining"
+        "a server that is missing from the snapshot is still stored"
     );
 }
 
@@ -473,8 +478,8 @@
     );
 }
 
-/// The deadline timer fires at short intervals so that ended requests leave the memory early. A
-/// pending request must be kept and answered only at its deadline.
+/// The deadline timer fires at short intervals, so that ended requests do not stay in memory until
+/// their deadline. A pending request must be kept, and must be rejected only at its deadline.
 #[test]
 fn a_pending_request_is_checked_until_its_deadline() {
     let mut request_table = new_table(&limits());
@@ -492,7 +497,7 @@
     }
     assert_eq!(
         check_count, 120,
-        "the request was not answered at its deadline of 120 s"
+        "the request was not answered at its deadline of 120 s, with a check each second"
     );
 }
 
@@ -507,8 +512,9 @@
     assert_eq!(spec.max_age_us, Some(7));
 }
 
-/// The wall clock may be wrong at the start. Until another timestamp shows the reference time, only
-/// the arrival of a purge is a safe bound for the age of copies.
+/// The local clock may be wrong when the process starts. If it is ahead, a purge seems older than
+/// it is, and copies from before the purge would be accepted. Until the timestamp of another event
+/// rules this out, a purge must count from its arrival, which gives the lowest age limit of 1 us.
 #[test]
 fn until_a_timestamp_confirms_the_clock_a_purge_counts_from_its_arrival() {
     let mut request_table = new_table(&limits());
@@ -559,7 +565,7 @@
 fn every_admitted_request_is_counted_under_one_ending() {
     let mut request_table = new_table(&limits());
     let (_, attempt) = admit_and_start(&mut request_table);
-    request_table.attempt_ended(NOW_US, attempt, served());
+    request_table.attempt_ended(NOW_US, attempt, served_result());
     let (request_key, _) = admit_and_start(&mut request_table);
     request_table.client_disconnected(NOW_US, request_key);
     admit_and_start(&mut request_table);
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -13,8 +13,8 @@
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 
-/// Returns an address at which nothing listens any more. A refused connection proves that no
-/// attempt was executed.
+/// Returns an address at which nothing listens any more. Connections to it are refused, which
+/// proves that no attempt was executed.
 fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -23,7 +23,7 @@
 }
 
 /// Requests are multiplexed on one connection. A partially received request must not delay later
-/// ones, and its response must go to its own id.
+/// ones, and each response must carry the FastCGI id of its request.
 #[test]
 fn requests_on_one_connection_complete_in_any_order() {
     let proxy = ProxyFixture::start();
@@ -40,7 +40,7 @@
     );
     let (start_of_first, end_of_first) = first.split_at(first.len() - END_OF_INPUT_BYTES);
 
-    // The second request is complete before the first.
+    // The second request is complete before the first, whose start is sent in two parts.
     client.send(&start_of_first[..20]).unwrap();
     client.send(&start_of_first[20..]).unwrap();
     client
@@ -53,10 +53,11 @@
     assert_eq!((request_id, response.status), (7, 200));
     assert!(
         response.body.starts_with(b"000000000000000b/0@"),
-        "the body differs from that of the cache server"
+        "the body is not that of the requested object"
     );
 
-    // Many responses in sequence: the count of unsent answer bytes must return to zero each time.
+    // The count of unsent answer bytes must return to zero after each of many responses. If it only
+    // grew, the proxy would reject requests once the count exceeds its limit.
     for number in 0..50 {
         let response = fetch_object(&mut client, READ_CLASS, &object_key(number));
         assert_eq!(response.status, 200);
--- a/crates/proxy/tests/support/upstream.rs
+++ b/crates/proxy/tests/support/upstream.rs
@@ -1,4 +1,4 @@
-//! Fixture for a connection to a cache server over a pair of sockets. Tests drive both sides.
+//! Fixture for the proxy's connection to one server over a pair of sockets. Tests drive both sides.
 
 use edge_proxy::limits::Limits;
 use edge_proxy::net::{BufferedSocket, IoProgress, SlabKey};
@@ -40,34 +40,37 @@
     events.into_iter().map(end).collect()
 }
 
-/// A connection to one server over a pair of sockets, with the request table that it serves.
+/// A connection to one server over a pair of sockets, and the request table whose attempts it
+/// sends.
 pub struct Fixture {
     pub request_table: RequestTable,
     pub connection: UpstreamConnection,
     pub socket: BufferedSocket,
-    /// Socket of the server.
+    /// The server's end of the connection.
     pub server_socket: TcpStream,
     pub limits: Limits,
     pub server: ServerId,
     pub events: Vec<UpstreamEvent>,
     pub now: Micros,
-    /// All attempts sent so far, each with the id of its request.
-    sent: Vec<(String, AttemptId)>,
+    /// The first attempt of each request that was admitted so far, with the id of the request.
+    first_attempts: Vec<(String, AttemptId)>,
 }
 
 impl Fixture {
-    /// Creates an established connection to a cache server.
+    /// Creates a fixture with an established connection to a cache server.
     pub fn connected() -> Self {
         Fixture::new("here", "cache", true)
     }
 
-    /// Creates a connection to a cache server that is not established yet.
+    /// Creates a fixture with a connection to a cache server. The connection is not established
+    /// yet.
     pub fn connecting() -> Self {
         Fixture::new("here", "cache", false)
     }
 
-    /// Creates a connection to a server of the given kind in the given zone.
+    /// Creates a fixture with a connection to a server of the given kind in the given zone.
     pub fn new(zone: &str, kind: &str, is_connected: bool) -> Self {
+        // A machine with 1024 file descriptors and 192 MB of memory.
         let limits = Limits::for_machine(1024, 192);
         let settings = edge_settings::from_json(&sample_settings()).unwrap();
         let mut request_table = RequestTable::new(settings, 1, &limits).unwrap();
@@ -90,16 +93,16 @@
             server,
             events: Vec::new(),
             now: START_US,
-            sent: Vec::new(),
+            first_attempts: Vec::new(),
         }
     }
 
-    /// Enqueues an attempt of a photo request with the given id.
+    /// Admits a photo request with the given id, enqueues its attempt and flushes.
     pub fn send(&mut self, id: &str) -> AttemptId {
         self.send_request(photo_request(id))
     }
 
-    /// Enqueues an attempt of a photo request with the given id and body.
+    /// Admits a photo request with the given id and body, enqueues its attempt and flushes.
     pub fn send_with_body(&mut self, id: &str, body: Vec<u8>) -> AttemptId {
         self.send_request(ClientRequest {
             body,
@@ -107,10 +110,10 @@
         })
     }
 
-    /// Admits a request and enqueues the attempt that the router starts for it.
+    /// Admits a request, enqueues the attempt that the router starts for it, and flushes.
     pub fn send_request(&mut self, request: ClientRequest) -> AttemptId {
         let id = request.id.clone();
-        self.end_requests_with(&id);
+        self.end_requests_with_id(&id);
         self.request_table.take_commands();
         let target = AnswerTarget {
             connection: SlabKey::from_u64(0),
@@ -118,14 +121,18 @@
         };
         self.request_table.admit(self.now, target, request).unwrap();
         let attempt = self.enqueue_next();
-        self.sent.push((id, attempt));
+        self.first_attempts.push((id, attempt));
         attempt
     }
 
-    /// Ends all earlier requests with an id. The request table does not admit a request while
-    /// another one with its id is pending.
-    fn end_requests_with(&mut self, id: &str) {
-        for (_, attempt) in self.sent.iter().filter(|(sent_id, _)| sent_id == id) {
+    /// Ends all earlier requests with an id, because the request table admits no request while
+    /// another one with the same id is pending.
+    fn end_requests_with_id(&mut self, id: &str) {
+        for (_, attempt) in self
+            .first_attempts
+            .iter()
+            .filter(|(request_id, _)| request_id == id)
+        {
             self.request_table
                 .client_disconnected(self.now, attempt.request_key);
             self.request_table
@@ -139,7 +146,8 @@
             .handle_purge_event(self.now, Some(object.into()), 0, purged_at);
     }
 
-    /// Enqueues the next attempt that the request table has a send command for, and flushes.
+    /// Takes the commands of the request table, enqueues the attempt of the first send command, and
+    /// flushes. Panics if there is no send command.
     pub fn enqueue_next(&mut self) -> AttemptId {
         let sent = |command| match command {
             Command::SendAttempt(attempt) => Some(attempt),
@@ -152,11 +160,14 @@
         attempt
     }
 
-    /// Returns the number of attempts and probes on the connection, or `None` if it cannot take an
-    /// attempt with this id.
-    pub fn outstanding_count_if_available(&self, id: &str) -> Option<usize> {
-        self.connection
-            .outstanding_count_if_available(id, &self.request_table, &self.limits)
+    /// Returns the number of attempts and probes that are queued or in flight on the connection, or
+    /// `None` if it cannot take an attempt of a request with this id.
+    pub fn outstanding_count_if_available(&self, request_id: &str) -> Option<usize> {
+        self.connection.outstanding_count_if_available(
+            request_id,
+            &self.request_table,
+            &self.limits,
+        )
     }
 
     /// Writes what the connection can write. Returns false if the connection must be closed.
@@ -184,7 +195,8 @@
         self.flush();
     }
 
-    /// Withdraws the unwritten attempts of the server, as its drain does.
+    /// Removes the attempts to the server of which no byte is written, as the proxy does when the
+    /// server starts to drain. Returns false if the connection must be closed.
     pub fn drain_server(&mut self) -> bool {
         self.connection.drain_server(
             self.server,
@@ -194,19 +206,21 @@
         )
     }
 
-    /// Closes the connection and returns the ends of attempts that were not taken before.
+    /// Closes the connection, which was established before if `is_connected` is true. Returns the
+    /// ends of attempts that `take_attempt_ends` has not returned yet.
     pub fn close(mut self, is_connected: bool) -> Vec<AttemptEnd> {
         self.connection
             .close(is_connected, self.socket.bytes_written, &mut self.events);
         attempt_ends(self.events)
     }
 
-    /// Takes the ends of attempts reported since the last call.
+    /// Returns the ends of attempts that were reported since the last call.
     pub fn take_attempt_ends(&mut self) -> Vec<AttemptEnd> {
         attempt_ends(std::mem::take(&mut self.events))
     }
 
-    /// Sends bytes from the server and has the connection read them.
+    /// Sends bytes from the server, waits until some have arrived, and has the connection read
+    /// them.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.server_socket.write_all(bytes).unwrap();
         while self.socket.read(false) != IoProgress::Advanced {}
@@ -220,20 +234,21 @@
             .unwrap();
     }
 
-    /// Answers from the server with a copy that the origin gave out at a Unix time in milliseconds.
-    /// Returns the ends of attempts that follow.
-    pub fn receive_copy(&mut self, id: &str, created_at_ms: u64) -> Vec<AttemptEnd> {
+    /// Answers the attempt of a request from the server with a copy that was created at
+    /// `created_at_ms`, in Unix milliseconds. Returns the ends of attempts that were reported.
+    pub fn receive_copy(&mut self, request_id: &str, created_at_ms: u64) -> Vec<AttemptEnd> {
         let fields = format!("how=local,made={created_at_ms}");
         let mut answer = Vec::new();
         resp::write_array(
             &mut answer,
-            &[id.as_bytes(), b"200", fields.as_bytes(), b"x"],
+            &[request_id.as_bytes(), b"200", fields.as_bytes(), b"x"],
         );
         self.receive(&answer);
         self.take_attempt_ends()
     }
 
-    /// Returns what the server receives, read until it contains `word` `count` times.
+    /// Reads at the server until the received text contains `word` at least `count` times. Returns
+    /// this text.
     pub fn received_by_server(&mut self, word: &str, count: usize) -> String {
         let mut text = String::new();
         let mut bytes = [0; 4096];
@@ -245,7 +260,7 @@
     }
 }
 
-/// Returns the entry of the server under test in the endpoint list.
+/// Returns the endpoint list entry of the server to which the fixture is connected.
 fn listed_server(zone: &str, kind: &str) -> ListedServer {
     ListedServer {
         endpoint: Endpoint {
@@ -273,7 +288,8 @@
     (client_socket, server_socket)
 }
 
-/// Returns a request of a class that cache servers serve, with an object key derived from the id.
+/// Returns a read request of the class `photo`, which cache servers serve. Its object key is
+/// derived from the id.
 pub fn photo_request(id: &str) -> ClientRequest {
     ClientRequest {
         id: id.into(),
@@ -285,7 +301,8 @@
     }
 }
 
-/// Returns a write request with an idempotency key, which goes to the origin.
+/// Returns a write request of the class `post`, which the router sends to the origin. It has an
+/// idempotency key.
 pub fn post_request(id: &str) -> ClientRequest {
     ClientRequest {
         id: id.into(),
