--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -21,39 +21,43 @@
     pub const NON_IDEMPOTENT: &str = "payment";
 }
 
-/// How long cache servers may keep copies from before a purge.
+/// How long after a purge the cache servers may still hold copies from before it.
 pub const PURGE_COMPLETION_MS: u64 = 3_000;
-/// How long after the delivery of a purge to a proxy its attempts may still be answered from a
+/// How long after a proxy has received a purge event its attempts may still be answered from a
 /// purged copy.
 pub const PURGE_GRACE_MS: u64 = 300;
-/// How long after the delivery of a change to a proxy its attempts may still go to a draining
-/// server.
+/// How long after a proxy has received the event that a server drains its attempts may still use
+/// this server, as destination or as fill source.
 pub const DRAIN_GRACE_MS: u64 = 250;
-/// The longest deadline that a planned restart waits for.
+/// The longest request deadline that a proxy waits for after SIGTERM. Requests with a longer
+/// deadline are answered before it.
 pub const MAX_RESTART_DEADLINE_MS: u64 = 3_000;
-/// The window in which the requests to a server that is warming up are counted.
+/// The length of the time window in which the requests to a server that is warming up are counted
+/// to detect an overload.
 pub const OVERLOAD_WINDOW_MS: u64 = 2_000;
-/// The share of its capacity that a server has when it starts.
+/// The share of its full capacity that a server has when it starts.
 pub const INITIAL_CAPACITY_SHARE: f64 = 0.2;
-/// How long a server is warming up, until it has its full capacity.
+/// How long a server that has started is warming up. It then has its full capacity.
 pub const WARM_UP_MS: u64 = 6_000;
-/// The multiple of its present capacity at which a server that is warming up is overloaded.
+/// A server that is warming up is overloaded if it receives more requests per window than this
+/// multiple of the number that its present capacity can serve.
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// The number of transfers that the network link of a cache server carries at full rate.
 pub const CACHE_CAPACITY_TRANSFERS: f64 = 4.0;
 /// The size of an object.
 pub const OBJECT_SIZE_KB: f64 = 400.0;
-/// The rate of a single transfer.
+/// The full rate of a single transfer.
 pub const TRANSFER_KB_PER_S: f64 = 4_000.0;
 
-/// Returns an address of the run in a slot of the campaign. Each slot has its own addresses, so
-/// that slots can run in parallel.
+/// Returns a loopback address of a slot, in which a campaign runs one plan at a time. Each slot has
+/// its own addresses, so that slots can run in parallel. `network` distinguishes the kinds of
+/// listener, and `index` the listeners of one kind.
 fn address(network: u8, slot: u8, index: usize, port: u16) -> SocketAddr {
     let host = u8::try_from(index + 1).unwrap_or(u8::MAX);
     SocketAddr::from((Ipv4Addr::new(127, network, slot, host), port))
 }
 
-/// Returns the address that is bound to reserve a slot.
+/// Returns the address that a campaign binds to reserve a slot.
 pub fn slot_lock_address(slot: u8) -> SocketAddr {
     address(19, slot, 0, PORT)
 }
@@ -63,18 +67,19 @@
     address(20, slot, proxy, PORT)
 }
 
-/// Returns the address on which a proxy accepts peer CDNs.
+/// Returns the address on which a proxy accepts connections to its interconnect.
 pub fn interconnect_address(slot: u8, proxy: usize) -> SocketAddr {
     address(20, slot, proxy, INTERCONNECT_PORT)
 }
 
-/// Returns the first or the second address of a proxy's event bus. Each proxy has its own
-/// addresses.
+/// Returns the first or the second address of a proxy's event bus. Each proxy has its own event
+/// bus, which listens on both addresses. A configuration reload moves the proxy to the other one.
 pub fn bus_address(slot: u8, proxy: usize, is_second: bool) -> SocketAddr {
     address(if is_second { 22 } else { 21 }, slot, proxy, PORT)
 }
 
-/// Returns the address of the link in front of a server, which is the address in the endpoint list.
+/// Returns the address of the simulated network link in front of a server. The endpoint list names
+/// this address for the server.
 pub fn link_address(slot: u8, server: usize) -> SocketAddr {
     address(23, slot, server, PORT)
 }
@@ -116,7 +121,8 @@
     settings
 }
 
-/// Returns the configuration file of a proxy.
+/// Returns the configuration document of a proxy. `known_events` is the state of the event bus that
+/// the proxy starts with.
 pub fn proxy_config_document(
     slot: u8,
     proxy: usize,
@@ -136,8 +142,8 @@
     })
 }
 
-/// Returns the configuration file of a proxy's interconnect, which persists its purges in
-/// `purge_log`.
+/// Returns the configuration document of a proxy's interconnect, which persists its purges in the
+/// file `purge_log`.
 pub fn interconnect_document(slot: u8, proxy: usize, purge_log: &Path) -> Value {
     let mut cdni = interconnect_config();
     cdni["listen"] = json!(interconnect_address(slot, proxy).to_string());
