--- a/crates/proxy/src/sys/poll.rs
+++ b/crates/proxy/src/sys/poll.rs
@@ -1,4 +1,4 @@
-//! System calls of epoll.
+//! System calls of epoll. `intercept` returns an error if a fault plan makes the call fail.
 
 use super::{intercept, SystemCall};
 use rustix::event::{epoll, Timespec};
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -50,8 +50,9 @@
 pub const TRANSFER_KB_PER_S: f64 = 4_000.0;
 
 /// Returns a loopback address of a slot, in which a campaign runs one plan at a time. Each slot has
-/// its own addresses, so that slots can run in parallel. `network` distinguishes the kinds of
-/// listener, and `index` the listeners of one kind.
+/// its own addresses, so that slots can run in parallel. `network` is the second octet of the
+/// address: 19 for the slot lock, 20 for proxies, 21 and 22 for the event bus, 23 for links and 24
+/// for servers. `index` is the number of the proxy or server, counted from 0.
 fn address(network: u8, slot: u8, index: usize, port: u16) -> SocketAddr {
     let host = u8::try_from(index + 1).unwrap_or(u8::MAX);
     SocketAddr::from((Ipv4Addr::new(127, network, slot, host), port))
