--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,7 +16,7 @@
 //! let class = Class {
 //!     name: "video".into(),
 //!     latency_objective_us: 500_000,
-//!     objective_per_transfer_time: 1.5,
+//!     objective_extension_per_transfer_time: 1.5,
 //!     deadline_us: 5_000_000,
 //!     priority_weight: 2.0,
 //!     late_weight: 0.1,
@@ -30,10 +30,10 @@
 //!     stale_grace_us: 0,
 //!     stale_weight: 0.0,
 //! };
-//! let zone = |name: &str, edge_proxy_count, hub| Zone {
+//! let zone = |name: &str, edge_proxy_count, hub_zone_index| Zone {
 //!     name: name.into(),
 //!     edge_proxy_count,
-//!     hub,
+//!     hub_zone_index,
 //!     link_kb_per_s: 0.0,
 //! };
 //! let mut settings = Settings {
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -186,7 +186,8 @@
         self.origin_admission
             .raise(admission::ORIGIN_ADMISSION_SWEEP_STEP);
         let window_us = self.settings.rules.overload_window_us;
-        self.servers.sweep(now.saturating_sub(window_us));
+        self.servers
+            .sample_load_and_drop_charges(now.saturating_sub(window_us));
         self.link.sweep(self.count_waiting_for_fill(now));
         self.eject_unresponsive(now);
         self.cancel_stuck_attempts(now, actions);
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -39,25 +39,26 @@
 pub struct Class {
     /// The class's name, as in requests.
     pub name: String,
-    /// An answer within this time counts with the full priority weight.
+    /// The latency objective: an answer within this time of the request's arrival has the full
+    /// priority weight.
     pub latency_objective_us: Micros,
-    /// Multiple of the request's transfer time by which the latency objective is extended. The
-    /// transfer time is the time that the transfer takes if it shares no link.
-    pub objective_per_transfer_time: f64,
-    /// Longest time until clients stop waiting.
+    /// The latency objective of a request is extended by this multiple of the request's transfer
+    /// time, which is the time that the transfer takes if it does not share its link.
+    pub objective_extension_per_transfer_time: f64,
+    /// Longest time that clients wait for an answer.
     pub deadline_us: Micros,
     /// Weight of one request relative to requests of other classes.
     pub priority_weight: f64,
-    /// Share of the priority weight with which a late answer counts.
+    /// Share of the priority weight that an answer has after the latency objective.
     pub late_weight: f64,
     /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
-    /// Which servers drop repeats, for classes with an idempotency key.
+    /// Which servers recognize and drop repeats, for classes with an idempotency key.
     pub dedup_scope: DedupScope,
-    /// How long repeats are dropped, for classes with an idempotency key.
+    /// How long servers recognize and drop repeats, for classes with an idempotency key.
     pub dedup_window_us: Micros,
-    /// Whether the answer is a stream. Once a stream has begun, it belongs to the client, so the
-    /// router no longer cancels its attempt.
+    /// Whether the answer is a stream. Once a stream has begun, the client has received a part of
+    /// it, so the router no longer cancels its attempt.
     pub streaming: bool,
     /// Whether objects of the class have several parts.
     pub multipart: bool,
@@ -67,7 +68,7 @@
     pub freshness_lifetime_us: Micros,
     /// How long a copy may still be served after its freshness lifetime.
     pub stale_grace_us: Micros,
-    /// Share of the priority weight with which a stale answer counts.
+    /// Share of the priority weight that a stale answer has.
     pub stale_weight: f64,
 }
 
@@ -88,8 +89,8 @@
     /// Number of edge proxies in the zone. Each runs one router.
     pub edge_proxy_count: u32,
     /// Index of the zone that is the hub of this one.
-    pub hub: usize,
-    /// Rate of the link that all fills of the zone share, in KB per second; 0 if unknown.
+    pub hub_zone_index: usize,
+    /// Rate of the link that all fills of the zone share, in KB per second. 0 if it is unknown.
     pub link_kb_per_s: f64,
 }
 
@@ -129,17 +130,18 @@
 /// The limits of the deployment that a router must respect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// How long after the router was notified a draining or departed server may still receive new
-    /// requests.
+    /// How long a draining or departed server may still receive new requests, counted from the time
+    /// when the router was notified of the drain or departure.
     pub drain_grace_us: Micros,
     /// Smallest share of its capacity that a cache server has when it starts, from 0 to 1.
     pub warm_up_initial_share: f64,
     /// Longest time until a cache server has its full capacity after its start.
     pub warm_up_us: Micros,
-    /// A cache server collapses if it receives more than this multiple of its present capacity for
-    /// `overload_window_us`.
+    /// A cache server fails from overload if it receives more than this multiple of its present
+    /// capacity for `overload_window_us`.
     pub overload_multiple: f64,
-    /// The time to which `overload_multiple` and `parent_overload_multiple` refer.
+    /// How long the load must exceed `overload_multiple` or `parent_overload_multiple` until the
+    /// server fails.
     pub overload_window_us: Micros,
     /// Like `warm_up_initial_share`, for parents.
     pub parent_warm_up_initial_share: f64,
@@ -147,12 +149,14 @@
     pub parent_warm_up_us: Micros,
     /// Like `overload_multiple`, for parents.
     pub parent_overload_multiple: f64,
-    /// How long after the router was notified of a purge older copies may still be served.
+    /// How long copies from before a purge may still be served, counted from the time when the
+    /// router was notified of the purge.
     pub purge_grace_us: Micros,
-    /// Time after a purge until all servers have dropped older copies by themselves.
+    /// Time after a purge until all servers have dropped the copies from before the purge without
+    /// any action of the router.
     pub purge_completion_us: Micros,
-    /// Applies where the endpoint list is polled. A router that has received no update for this
-    /// long counts as notified.
+    /// Maximum poll interval, for deployments in which the endpoint list is polled. A router that
+    /// has received no update for this long counts as notified of the changes that it has missed.
     pub max_poll_interval_us: Micros,
 }
 
@@ -183,9 +187,10 @@
     pub provenance: Provenance,
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
-    /// Whether the weights in the endpoint list are link capacities in transfers at full rate.
+    /// Whether the weight of a server in the endpoint list is the capacity of its link, as a number
+    /// of simultaneous transfers at the maximum rate (`transfer_kb_per_s`).
     pub weights_are_capacities: bool,
-    /// Maximum rate of one transfer to a client, in KB per second; 0 if unknown.
+    /// Maximum rate of one transfer to a client, in KB per second. 0 if it is unknown.
     pub transfer_kb_per_s: f64,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
@@ -199,8 +204,8 @@
     pub retry_after: bool,
     /// Longest Retry-After that clients follow.
     pub max_retry_after_us: Micros,
-    /// Multiple of its capacity at which the origin stops answering for a while; 0 if it never
-    /// does.
+    /// If the origin receives this multiple of its capacity, it stops answering for a while. 0 if
+    /// it never does.
     pub origin_overload_multiple: f64,
     /// The limits that the router must respect.
     pub rules: Rules,
@@ -220,9 +225,9 @@
     pub(crate) initial_share: f64,
     /// Longest time until the server has its full capacity after its start.
     pub(crate) duration_us: Micros,
-    /// Multiple of its present capacity at which the server collapses.
+    /// Multiple of its present capacity at which the server fails from overload.
     pub(crate) overload_multiple: f64,
-    /// Number of edge proxies that send requests to the server.
+    /// Number of routers that send requests to the server. Each edge proxy runs one.
     pub(crate) router_count: u32,
 }
 
@@ -252,7 +257,8 @@
         }
     }
 
-    /// Returns the limits of a parent that is warming up. The proxies of all zones send to it.
+    /// Returns the limits of a parent that is warming up. The edge proxies of all zones send
+    /// requests to it.
     pub(crate) fn parent_warm_up(&self) -> WarmUp {
         WarmUp {
             initial_share: self.rules.parent_warm_up_initial_share,
@@ -262,7 +268,7 @@
         }
     }
 
-    /// Returns the number of other edge proxies in the router's own zone.
+    /// Returns the number of other routers in the router's own zone.
     pub(crate) fn other_router_count(&self) -> f64 {
         f64::from(self.own_zone().edge_proxy_count.max(1)) - 1.0
     }
@@ -274,12 +280,13 @@
         known.then(|| size_kb / self.transfer_kb_per_s)
     }
 
-    /// Returns how many transfers at full rate add up to a rate.
+    /// Returns how many transfers at the maximum rate (`transfer_kb_per_s`) fit into a rate.
     pub(crate) fn full_rate_transfers(&self, rate_kb_per_s: f64) -> f64 {
         rate_kb_per_s / self.transfer_kb_per_s.max(1.0)
     }
 
-    /// Returns the mean rate of the zones' links in KB per second, without links of unknown rate.
+    /// Returns the mean rate of the zones' links in KB per second. Links of unknown rate are left
+    /// out.
     pub(crate) fn mean_known_link_kb_per_s(&self) -> f64 {
         let known = self.zones.iter().filter(|zone| zone.link_kb_per_s > 0.0);
         let sum: f64 = self.zones.iter().map(|zone| zone.link_kb_per_s).sum();
--- a/crates/routing/src/settings/validation.rs
+++ b/crates/routing/src/settings/validation.rs
@@ -23,7 +23,9 @@
             return Err(SettingsError::NoClasses);
         }
         let zones = self.zones.len();
-        if self.own_zone_index >= zones || self.zones.iter().any(|zone| zone.hub >= zones) {
+        if self.own_zone_index >= zones
+            || self.zones.iter().any(|zone| zone.hub_zone_index >= zones)
+        {
             return Err(SettingsError::UnknownZone);
         }
         let non_negative_values = self.non_negative_values();
@@ -56,7 +58,7 @@
         for class in &self.classes {
             values.push((
                 "objective per transfer time",
-                class.objective_per_transfer_time,
+                class.objective_extension_per_transfer_time,
             ));
             values.push(("priority weight", class.priority_weight));
             values.push(("late weight", class.late_weight));
--- a/crates/routing/src/state/requests.rs
+++ b/crates/routing/src/state/requests.rs
@@ -156,7 +156,7 @@
         unshared_transfer_s: f64,
     ) -> Self {
         let size_allowance_us =
-            (class.objective_per_transfer_time * unshared_transfer_s * 1e6) as Micros;
+            (class.objective_extension_per_transfer_time * unshared_transfer_s * 1e6) as Micros;
         let object_hash = hash::of_text(&request.object);
         RequestState {
             class_index,
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -31,13 +31,13 @@
     }
 }
 
-/// A transfer that is charged to the slow-start budget of a server.
+/// A transfer that uses up a part of the slow-start budget of a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Charge {
     /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// The charged transfer time in seconds, which applies to a link that the transfer does not
-    /// share.
+    /// The transfer time in seconds that is charged. It is an estimate of the time that the transfer
+    /// takes if it does not share its link.
     pub(crate) transfer_s: f64,
     /// The request of the attempt.
     pub(crate) request: RequestId,
@@ -61,21 +61,23 @@
     pub(crate) weight: f64,
     /// Whether the endpoint list last showed the server as ready, draining or gone.
     pub(crate) lifecycle: EndpointState,
-    /// When the process of the server started. `None` if that was long ago.
+    /// When the process of the server started. `None` if it started so long ago that the server has
+    /// its full capacity.
     pub(crate) started_at: Option<Micros>,
-    /// The last connection to the server failed, and the server has served nothing since.
+    /// Whether the last attempt to connect to the server failed and the server has served nothing
+    /// since.
     pub(crate) unreachable: bool,
     /// When the server last recovered: it served a request after it had been unreachable. `None`
     /// if it never recovered.
     pub(crate) recovered_at: Option<Micros>,
-    /// The moving average, from 0 to 1, of the share of attempts that failed through the fault of
-    /// the server.
+    /// The moving average, from 0 to 1, of the share of attempts that failed because of the server.
     pub(crate) failure_rate: f64,
     /// When the current or last ejection of the server ends. 0 if it was never ejected.
     pub(crate) ejected_until: Micros,
     /// The number of ejections since the server last served a request while it was not ejected.
     pub(crate) consecutive_ejections: u32,
-    /// A half-open probe is in flight: a single request that shows whether the server works again.
+    /// Whether a half-open probe is in flight, which is a single request that shows whether the
+    /// server works again.
     pub(crate) half_open_probe_in_flight: bool,
     /// When the server last served a request or filled a copy. 0 if it never did.
     pub(crate) last_success_at: Micros,
@@ -83,9 +85,11 @@
     pub(crate) last_reset_at: Micros,
     /// An estimate of the transfers in flight at the server.
     pub(crate) transfers_in_flight: SharedLoadEstimate,
-    /// The pace of recent cache hits at the server.
+    /// How long recent cache hits at the server took relative to transfers that do not share their
+    /// link.
     pub(crate) hit_pace: TransferPace,
-    /// The pace of recent fills from the server whose size was known.
+    /// How long recent fills from the server took relative to transfers that do not share their
+    /// link. Only fills of objects of known size are included.
     pub(crate) fill_pace: TransferPace,
     /// The transfers that were recently charged to the server, oldest first.
     pub(crate) charges: VecDeque<Charge>,
@@ -93,8 +97,8 @@
 
 impl ServerState {
     /// Returns the share of its capacity, from 0 to 1, that the server is certain to have at a
-    /// time. The share grows linearly from the start of the server, or from its recovery if it was
-    /// unreachable.
+    /// time. The share grows linearly from the start of the server, or from its last recovery if
+    /// that is later.
     pub(crate) fn warm_up_capacity_share(&self, at: Micros) -> f64 {
         let WarmUp {
             initial_share,
@@ -103,8 +107,8 @@
         } = self.warm_up;
         let since = self.started_at.max(self.recovered_at);
         let age_us = since.map_or(Micros::MAX, |since| at.saturating_sub(since));
-        let grown = (1.0 - initial_share) * age_us as f64 / duration_us.max(1) as f64;
-        (initial_share + grown).min(1.0)
+        let growth = (1.0 - initial_share) * age_us as f64 / duration_us.max(1) as f64;
+        (initial_share + growth).min(1.0)
     }
 
     /// Returns whether the server may not have its full capacity yet.
@@ -164,14 +168,15 @@
     servers: BTreeMap<ServerId, ServerState>,
     /// The ids of the ready servers, indexed by [`Role`].
     ready_ids: [Vec<ServerId>; 3],
-    /// The number of cache servers, ready or not.
+    /// The number of cache servers of the location, ready or not.
     cache_count: usize,
     initial_pace: TransferPace,
     initial_load: SharedLoadEstimate,
 }
 
 impl ServerTable {
-    /// Creates an empty table. Each new server starts with these estimates.
+    /// Creates an empty table. `initial_pace` and `initial_load` are the estimates with which the
+    /// state of each new server starts.
     pub(crate) fn new(initial_pace: TransferPace, initial_load: SharedLoadEstimate) -> Self {
         ServerTable {
             servers: BTreeMap::new(),
@@ -202,8 +207,8 @@
                 self.update_server(self.new_server(&endpoint, role, zone_index, settings));
             }
         }
-        // A server that returns gets a new id. The entry of the old id is kept only while it has
-        // attempts in flight.
+        // A server that returns to the list has a new id. The entry under the old id is needed only
+        // while the server has attempts in flight.
         self.servers.retain(|_, server| {
             server.lifecycle != EndpointState::Gone || server.transfers_in_flight.own() > 0.0
         });
@@ -217,14 +222,15 @@
         self.cache_count = servers.filter(|server| server.role == Role::Cache).count();
     }
 
+    /// Adds a server or updates it to the state in which the endpoint list shows it.
     fn update_server(&mut self, listed: ServerState) {
         let restarted = |server: &ServerState| {
             let ready = listed.lifecycle == EndpointState::Ready;
             ready && server.started_at != listed.started_at
         };
         match self.servers.get_mut(&listed.id) {
-            // Observations of the old process do not apply to the new one. Attempts in flight and
-            // charges remain.
+            // Observations of the old process do not apply to the new one. The number of transfers
+            // in flight and the charges are kept.
             Some(server) if restarted(server) => {
                 let transfers_in_flight = server.transfers_in_flight.own();
                 let charges = std::mem::take(&mut server.charges);
@@ -303,6 +309,7 @@
         for id in attempt.server_and_fill_source() {
             self.modify(id, |server| {
                 server.charges.push_back(charge);
+                // After an ejection, each attempt is a half-open probe until the server serves one.
                 server.half_open_probe_in_flight = server.consecutive_ejections > 0;
             });
         }
@@ -316,15 +323,15 @@
         self.modify(id, |server| server.unreachable = true);
     }
 
-    /// Records that a connection to a server broke. Returns `false` if a break at the same time was
-    /// already recorded.
+    /// Records that a connection to a server broke. Returns `false` if another connection to the
+    /// server was recorded as broken at the same time.
     pub(crate) fn record_connection_reset(&mut self, id: ServerId, now: Micros) -> bool {
         let server = self.servers.get_mut(&id);
         let last = server.map(|server| std::mem::replace(&mut server.last_reset_at, now));
         last != Some(now)
     }
 
-    /// Removes the charges of a request from its fill source, which did not receive the request.
+    /// Removes all charges of a request from its fill source, which did not receive the request.
     pub(crate) fn cancel_charge(&mut self, fill_source: ServerId, request: RequestId) {
         self.modify(fill_source, |server| {
             server.charges.retain(|charge| charge.request != request);
@@ -344,15 +351,15 @@
 
     /// Adds the current load of each server to its average over time, and removes the charges from
     /// before `since`.
-    pub(crate) fn sweep(&mut self, since: Micros) {
+    pub(crate) fn sample_load_and_drop_charges(&mut self, since: Micros) {
         for server in self.servers.values_mut() {
             server.transfers_in_flight.sample();
             server.drop_charges_before(since);
         }
     }
 
-    /// Moves the start times of all servers earlier by `by_us` microseconds, because the starts
-    /// turned out to lie further in the past.
+    /// Moves the start times of all servers earlier by `by_us` microseconds. Used when it turns out
+    /// that the servers started earlier than recorded.
     pub(crate) fn move_start_times_earlier(&mut self, by_us: Micros) {
         for server in self.servers.values_mut() {
             if let Some(started_at) = &mut server.started_at {
@@ -391,7 +398,8 @@
         self.cache_count
     }
 
-    /// Describes an attempt as the first one of its request that a server may have executed.
+    /// Returns the record that an attempt is the first of its request that a server may have
+    /// executed.
     pub(crate) fn first_possible_execution(
         &self,
         attempt: &InFlightAttempt,
@@ -400,6 +408,7 @@
         FirstPossibleExecution {
             sent_at: attempt.sent_at,
             zone_index: server.and_then(|server| server.zone_index),
+            // If the server is not in the table, no cell is known, and `u64::MAX` stands for none.
             cell: server.map_or(u64::MAX, |server| server.cell),
         }
     }
--- a/crates/routing/src/state/tests.rs
+++ b/crates/routing/src/state/tests.rs
@@ -11,7 +11,7 @@
     Class {
         name: "video".into(),
         latency_objective_us: SECOND_US,
-        objective_per_transfer_time: 2.0,
+        objective_extension_per_transfer_time: 2.0,
         deadline_us: 8 * SECOND_US,
         priority_weight: 1.0,
         late_weight: 0.0,
@@ -31,7 +31,7 @@
     let zone = |name: &str, edge_proxy_count| Zone {
         name: name.into(),
         edge_proxy_count,
-        hub: 0,
+        hub_zone_index: 0,
         link_kb_per_s: 0.0,
     };
     Settings {
@@ -264,7 +264,7 @@
     assert_eq!(charged_transfer_s(&servers, 1), Some(4.0));
     servers.cancel_charge(5, 8);
     assert_eq!(charged_transfer_s(&servers, 5), Some(2.0));
-    servers.sweep(3);
+    servers.sample_load_and_drop_charges(3);
     assert_eq!(charged_transfer_s(&servers, 1), Some(2.0));
     let load = servers
         .get(1)
--- a/crates/routing/tests/fill_source.rs
+++ b/crates/routing/tests/fill_source.rs
@@ -4,8 +4,8 @@
 use edge_routing::*;
 use support::*;
 
-/// Guards against an object that each parent fetches from the origin, and against misses that are
-/// not filled in a deployment without parents.
+/// Guards against several parents that fetch the same object from the origin, and against misses
+/// that are not filled in a deployment without parents.
 #[test]
 fn fills_come_from_one_parent_per_object_and_from_the_origin_without_parents() {
     let mut harness = Harness::with_defaults();
@@ -14,26 +14,31 @@
     assert_eq!(first.fill.source, second.fill.source);
     assert!(PARENTS.contains(&first.fill.source));
 
-    let mut without_parents = fleet();
-    without_parents.retain(|endpoint| endpoint.kind != "parent");
+    let mut endpoints_without_parents = fleet();
+    endpoints_without_parents.retain(|endpoint| endpoint.kind != "parent");
     let settings = Settings {
         parent_kind: None,
         ..settings()
     };
-    let mut harness = Harness::new(settings, without_parents);
+    let mut harness = Harness::new(settings, endpoints_without_parents);
     assert_eq!(harness.forward(VIDEO, "/o/a").fill.source, ORIGIN);
 }
 
-/// Returns how many of the later fills still come from the first parent in the rendezvous order.
-/// Its fills take `first_parent_fill_time_us`, and those of the other parent 150 ms.
-fn later_fills_from_first_parent(settings: Settings, first_parent_fill_time_us: Micros) -> usize {
+/// Requests six objects in turn, and returns how many of the requests after
+/// `REQUESTS_BEFORE_MEASUREMENT` are filled from the parent that fills the first request. Fills from
+/// this parent take `first_parent_fill_time_us`, and fills from the other parent take
+/// `SECOND_PARENT_FILL_TIME_US`.
+fn measured_fills_from_first_parent(
+    settings: Settings,
+    first_parent_fill_time_us: Micros,
+) -> usize {
     const SECOND_PARENT_FILL_TIME_US: Micros = 150 * MILLISECOND_US;
     const REQUESTS: usize = 60;
     const REQUESTS_BEFORE_MEASUREMENT: usize = 40;
     const OBJECTS: usize = 6;
     let mut harness = Harness::new(settings, fleet());
     let first_parent = harness.forward(VIDEO, "/o/0").fill.source;
-    let mut later_fills = 0;
+    let mut measured_fills = 0;
     for index in 0..REQUESTS {
         let attempt = harness.forward(VIDEO, &format!("/o/{}", index % OBJECTS));
         let from_first_parent = attempt.fill.source == first_parent;
@@ -47,16 +52,16 @@
             ..attempt.report(Outcome::Ok, FillResult::Filled)
         });
         if index >= REQUESTS_BEFORE_MEASUREMENT && from_first_parent {
-            later_fills += 1;
+            measured_fills += 1;
         }
     }
-    later_fills
+    measured_fills
 }
 
-/// Guards against fills that stay at a slow parent, and against fills that move at small
-/// differences, which would make both parents fetch the same objects.
+/// Guards against fills that continue to come from a slow parent. Also guards against a change of
+/// the parent because of small differences, which would make both parents fetch the same objects.
 #[test]
-fn the_second_parent_fills_while_the_first_is_clearly_slower_for_the_size() {
+fn the_second_parent_fills_while_the_first_is_much_slower_for_the_object_size() {
     let much_slower = 900 * MILLISECOND_US;
     let slightly_slower = 200 * MILLISECOND_US;
     let without_transfer_rate = Settings {
@@ -64,16 +69,16 @@
         ..settings()
     };
     assert_eq!(
-        later_fills_from_first_parent(settings(), much_slower),
+        measured_fills_from_first_parent(settings(), much_slower),
         0,
         "the first parent is six times as slow, so the second parent fills"
     );
     assert!(
-        later_fills_from_first_parent(settings(), slightly_slower) > 0,
+        measured_fills_from_first_parent(settings(), slightly_slower) > 0,
         "the first parent is only slightly slower, so it fills"
     );
     assert!(
-        later_fills_from_first_parent(without_transfer_rate, much_slower) > 0,
+        measured_fills_from_first_parent(without_transfer_rate, much_slower) > 0,
         "the transfer times are unknown, so the first parent fills"
     );
 }
--- a/crates/routing/tests/settings.rs
+++ b/crates/routing/tests/settings.rs
@@ -25,7 +25,7 @@
         Some(SettingsError::UnknownZone)
     );
     assert_eq!(
-        error_after(|settings| settings.zones[LOCAL_ZONE_INDEX].hub = 9),
+        error_after(|settings| settings.zones[LOCAL_ZONE_INDEX].hub_zone_index = 9),
         Some(SettingsError::UnknownZone)
     );
     assert_eq!(
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -87,7 +87,7 @@
     Class {
         name: name.into(),
         latency_objective_us: 500 * MILLISECOND_US,
-        objective_per_transfer_time: 1.5,
+        objective_extension_per_transfer_time: 1.5,
         deadline_us: CLIENT_TIMEOUT_US,
         priority_weight: 1.0,
         late_weight: 0.1,
@@ -133,7 +133,7 @@
     let zone = |index: usize, edge_proxy_count, link_kb_per_s| Zone {
         name: ZONE_NAMES[index].into(),
         edge_proxy_count,
-        hub: HUB_ZONE_INDEX,
+        hub_zone_index: HUB_ZONE_INDEX,
         link_kb_per_s,
     };
     vec![
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -64,7 +64,9 @@
     Ok(routing::Class {
         name: category.name,
         latency_objective_us: category.latency_objective_us.0,
-        objective_per_transfer_time: category.objective_per_transfer_time.unwrap_or(0.0),
+        objective_extension_per_transfer_time: category
+            .objective_extension_per_transfer_time
+            .unwrap_or(0.0),
         deadline_us: category.deadline_us.0,
         priority_weight: category.priority_weight.unwrap_or(1.0),
         late_weight: category.late_weight.unwrap_or(0.0),
@@ -107,7 +109,7 @@
             Ok(routing::Zone {
                 name,
                 edge_proxy_count: WholeNumber::value_or(edge_proxy_count, 1) as u32,
-                hub: WholeNumber::value_or(hub, 0) as usize,
+                hub_zone_index: WholeNumber::value_or(hub, 0) as usize,
                 link_kb_per_s: link_kb_per_s.unwrap_or(0.0),
             })
         })
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -42,7 +42,7 @@
     #[serde(rename = "aim-us")]
     pub latency_objective_us: WholeNumber,
     #[serde(rename = "aim-stretch")]
-    pub objective_per_transfer_time: Option<f64>,
+    pub objective_extension_per_transfer_time: Option<f64>,
     #[serde(rename = "deadline-us")]
     pub deadline_us: WholeNumber,
     #[serde(rename = "worth")]
