--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -15,7 +15,7 @@
 /// Identifies one of the two listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
-    /// Listener for the web servers of the platform.
+    /// Listener for web servers, which send the requests of their clients as FastCGI requests.
     FastCgi,
     /// Listener for peer CDNs and the clients that they redirect.
     Interconnect,
@@ -36,9 +36,10 @@
     token: u64,
     /// Whether the poller watches the listener. False while accepting is paused.
     is_watched: bool,
-    /// Time since which accepting has failed with an error other than `OutOfMemory`, which is the
-    /// error of a full connection table. `None` once all waiting connections are accepted.
-    /// Connections accepted until then may have been waiting in the kernel's queue since this time.
+    /// When accepting began to fail. A full connection table, for which the error is `OutOfMemory`,
+    /// does not count as a failure. The time is kept until all waiting connections are accepted,
+    /// because each of them may have waited in the kernel's queue since then. `None` if accepting
+    /// is not failing.
     accept_failing_since: Option<Micros>,
 }
 
@@ -84,12 +85,14 @@
 
 /// Both listeners, and whether a retry of accepting is scheduled.
 pub(super) struct Acceptors {
-    /// `None` after the grace period of a shutdown.
+    /// `None` once the listener is closed for a shutdown. It is closed at the end of the grace
+    /// period, or later if accepting is failing at that time.
     pub(super) fastcgi: Option<Acceptor>,
     /// `None` if no interconnect is configured.
     pub(super) interconnect: Option<Acceptor>,
-    /// Whether the retry timer is set. Both listeners share it. If each listener had its own, each
-    /// of the timers would set two new timers while the connection table is full.
+    /// Whether the retry timer is set. One timer serves both listeners, because each retry tries
+    /// both. With a timer for each listener, every retry would set two new timers while the
+    /// connection table is full.
     retry_scheduled: bool,
 }
 
@@ -117,7 +120,7 @@
     }
 
     /// Stops accepting for a shutdown. The FastCGI listener is closed, unless accepting its waiting
-    /// connections has just failed. In that case it stays open until they are accepted. The
+    /// connections is failing. In that case it stays open until they are accepted. The
     /// interconnect listener stays bound, but the poller no longer watches it.
     pub(super) fn close(&mut self, poller: &Poller) {
         self.fastcgi
@@ -138,16 +141,18 @@
 }
 
 impl EventLoop {
-    /// Accepts the connections that wait at a listener until none is left or no room is left.
+    /// Accepts the connections that wait at a listener until none is left or accepting fails. Pauses
+    /// accepting if it fails, for example because the connection table is full.
     pub(super) fn accept_clients(&mut self, now: Micros, kind: ListenerKind) {
         while self.is_accepting(kind) {
-            // When no room is left, connections wait in the kernel's queue and are accepted after
-            // others are closed.
-            let room = self.make_room_for_client(now);
+            // If no connection can be evicted from a full connection table, new connections wait in
+            // the kernel's queue and are accepted after others are closed.
+            let eviction = self.make_room_for_client(now);
             let Some(acceptor) = self.acceptors.get(kind) else {
                 return;
             };
-            let accepted = room.and_then(|evicted| Ok((sys::accept(&acceptor.listener)?, evicted)));
+            let accepted =
+                eviction.and_then(|evicted| Ok((sys::accept(&acceptor.listener)?, evicted)));
             match accepted {
                 Ok((socket, evicted)) => self.add_client(now, kind, socket, evicted),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -177,9 +182,9 @@
         }
     }
 
-    /// Returns whether connections are accepted at a listener. After the grace period of a
-    /// shutdown, connections are accepted only while accepting has failed since before its end, so
-    /// that those that were waiting then are not lost.
+    /// Returns whether connections are accepted at a listener. After the grace period of a shutdown,
+    /// a listener accepts connections only if accepting was failing when the period ended, and only
+    /// until its waiting connections are accepted. They would be lost otherwise.
     fn is_accepting(&self, kind: ListenerKind) -> bool {
         match self.acceptors.get(kind) {
             Some(_) if !self.shutdown.is_grace_over() => true,
@@ -188,11 +193,11 @@
         }
     }
 
-    /// Pauses accepting at a listener, because no room or no file descriptor is left, and schedules
-    /// a retry.
+    /// Pauses accepting at a listener after an error, and schedules a retry. Typical errors are a
+    /// full connection table and a lack of file descriptors.
     fn pause_accepting(&mut self, now: Micros, kind: ListenerKind, reason: &io::Error) {
         log::debug!(
-            "pausing accept on the {kind:?} listener for {} ms: {reason}",
+            "pausing accept on the {kind:?} listener, retrying within {} ms: {reason}",
             self.limits.accept_retry_interval_us / 1_000
         );
         let is_full = reason.kind() == io::ErrorKind::OutOfMemory;
@@ -254,8 +259,9 @@
             (accept_failing_since, self.connections.get_mut(key))
         {
             connection.unread_since = Some(since);
-            // The connection is read at once. After the grace period it is closed here if it
-            // carries no request, and otherwise once its requests are answered.
+            // A request may have waited in the kernel's queue, so the connection is read at once.
+            // After the grace period, this call closes a connection without a request. Other
+            // connections are closed once their requests are answered.
             self.read_available_input(now, key);
         }
     }
--- a/crates/proxy/src/event_loop/signals.rs
+++ b/crates/proxy/src/event_loop/signals.rs
@@ -1,4 +1,5 @@
-//! SIGTERM and SIGHUP as readable sockets, and the handle that triggers them from another thread.
+//! Delivers SIGTERM and SIGHUP to the event loop through sockets. A control handle triggers the same
+//! actions from another thread.
 
 use super::startup::retry_startup_step;
 use super::tokens;
@@ -7,9 +8,9 @@
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// Byte that the control handle writes. The receiver ignores its value.
+/// Byte that the control handle writes. The event loop ignores its value.
 const WAKE_BYTE: &[u8] = b"s";
-/// Number of bytes that one read takes from a signal pipe. Each signal is one byte.
+/// Maximum number of bytes that one read takes from a signal pipe. Each signal is one byte.
 const DRAIN_BUFFER_BYTES: usize = 16;
 
 /// Triggers from another thread what SIGTERM and SIGHUP trigger in an event loop.
@@ -20,7 +21,8 @@
 
 impl ControlHandle {
     /// Begins a graceful shutdown, as SIGTERM does. The event loop ends once all admitted requests
-    /// are answered.
+    /// are answered and all client connections are closed. Requests that are pending at the
+    /// shutdown deadline are answered as failed.
     ///
     /// # Errors
     ///
@@ -39,11 +41,12 @@
     }
 }
 
-/// A signal as a readable socket (the self-pipe technique). The signal handler writes to one end
-/// and the poller watches the other end, so that the event loop handles a signal between two other
-/// events, like any input.
+/// A socket pair that makes a signal readable (the self-pipe technique). The signal handler writes
+/// to one end and the poller watches the other end. The event loop therefore handles a signal in
+/// the same way as input of any other socket.
 pub(super) struct SignalPipe {
     receiver: UnixStream,
+    /// Cloned for the signal handler and for each control handle.
     sender: UnixStream,
 }
 
@@ -71,8 +74,8 @@
 }
 
 impl Signals {
-    /// Installs the signal handlers. From then on a signal is kept until the event loop handles it.
-    /// Without the handlers a signal would end the process.
+    /// Installs the signal handlers. A signal that arrives afterwards stays in its socket until the
+    /// event loop handles it. A signal that arrives before would end the process.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/frontend/interconnect/triggers/specification.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/specification.rs
@@ -5,12 +5,13 @@
 
 /// Name of the property with the trigger type. All other properties select content.
 const TYPE_PROPERTY: &str = "type";
-/// Selector of content by its URLs.
-const CONTENT_URLS: &str = "content.urls";
-/// Selector of content by its collections. This CDN maps each collection to a purge group.
-const CONTENT_COLLECTIONS: &str = "content.ccid";
+/// Selector whose values are URLs of content.
+const URL_SELECTOR: &str = "content.urls";
+/// Selector whose values are ids of collections. In this CDN, the id of a collection is the number
+/// of a purge group.
+const COLLECTION_SELECTOR: &str = "content.ccid";
 /// Number of purge groups. Every object is in one of them.
-const GROUP_COUNT: u64 = 256;
+const PURGE_GROUP_COUNT: u64 = 256;
 
 /// The trigger type (RFC 8007, section 5.2.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,13 +41,15 @@
 /// The type of a trigger and the content that it selects.
 pub(super) struct Specification {
     pub trigger_type: TriggerType,
-    /// Purges that the selectors request.
+    /// Targets that the selectors select.
     pub purges: Vec<PurgeTarget>,
-    /// Values that this CDN cannot select, by selector.
+    /// Selector values that this CDN does not support, keyed by selector.
     pub unsupported: Map<String, Value>,
 }
 
 impl Specification {
+    /// Parses the properties of a trigger specification. All properties other than the type are
+    /// selectors with a list of values.
     pub(super) fn parse(properties: &Map<String, Value>) -> Result<Self, MalformedSpecification> {
         let mut specification = Specification {
             trigger_type: parse_type(properties)?,
@@ -67,6 +70,8 @@
         self.purges.is_empty() && self.unsupported.is_empty()
     }
 
+    /// Adds the purge targets that the values of a selector select, and the values that this CDN
+    /// does not support.
     fn add_selector(
         &mut self,
         selector: &str,
@@ -87,7 +92,8 @@
     }
 }
 
-/// Returns all selectors of a specification, in the form that an error description lists them.
+/// Returns all properties of a specification except the type, which are its selectors. An error
+/// description lists the selectors in this form.
 pub(super) fn selectors(properties: &Map<String, Value>) -> Map<String, Value> {
     let mut selectors = properties.clone();
     selectors.remove(TYPE_PROPERTY);
@@ -103,34 +109,37 @@
     })
 }
 
-/// Returns the purge that a value of a selector requests, or `None` if this CDN cannot select it.
+/// Returns the purge target that a value of a selector selects, or `None` if this CDN does not
+/// support the selector or the value.
 fn purge_target(
     selector: &str,
     value: &Value,
 ) -> Result<Option<PurgeTarget>, MalformedSpecification> {
     let text = || value.as_str().ok_or(MalformedSpecification);
     Ok(match selector {
-        CONTENT_URLS => object_target(text()?),
-        CONTENT_COLLECTIONS => group_target(text()?),
-        // Other selectors select metadata, which this CDN does not store, or match patterns.
-        // Patterns cannot be matched, because this CDN knows objects only by their keys.
+        URL_SELECTOR => object_purge_target(text()?),
+        COLLECTION_SELECTOR => group_purge_target(text()?),
+        // The other selectors select metadata or content whose URL matches a pattern. This CDN does
+        // not store metadata, and cannot match patterns because it knows objects only by their
+        // keys.
         _ => None,
     })
 }
 
-fn object_target(url: &str) -> Option<PurgeTarget> {
+fn object_purge_target(url: &str) -> Option<PurgeTarget> {
     let content = ContentPath::parse(url)?;
     Some(PurgeTarget {
         object: Some(content.object.to_owned()),
+        // Not used, because the purge applies to an object.
         group: 0,
     })
 }
 
-fn group_target(collection: &str) -> Option<PurgeTarget> {
+fn group_purge_target(collection: &str) -> Option<PurgeTarget> {
     let group = collection
         .parse()
         .ok()
-        .filter(|group| *group < GROUP_COUNT)?;
+        .filter(|group| *group < PURGE_GROUP_COUNT)?;
     Some(PurgeTarget {
         object: None,
         group,
--- a/crates/proxy/src/upstream/write.rs
+++ b/crates/proxy/src/upstream/write.rs
@@ -1,5 +1,5 @@
-//! Writing: moves queued attempts into the output buffer and reports cancellations once their
-//! report delay is over.
+//! Writes to a server: moves queued attempts into the output buffer, and reports cancelled attempts
+//! as ended once the server has had time to receive the `abort`.
 
 use super::command;
 use super::stream::{SentAttempt, Stream};
@@ -9,7 +9,7 @@
 use crate::request_table::{AttemptId, RequestTable};
 use edge_routing::{Micros, Outcome};
 
-/// The inputs to a decision on whether an attempt may be started.
+/// The inputs to the decisions on which attempts are started and which cancellations are reported.
 struct WriteContext<'a> {
     now: Micros,
     request_table: &'a RequestTable,
@@ -19,8 +19,8 @@
 impl UpstreamConnection {
     /// Writes what the socket accepts, starts queued attempts and reports cancellations that are
     /// due. Attempts that must not start any more are reported as not sent. Returns `false` if the
-    /// connection must be closed because it is broken, accepts no further bytes or can't be read
-    /// any further.
+    /// connection must be closed because it is broken, a partial answer has not been completed in
+    /// time, or the server has accepted no bytes for too long.
     pub fn flush(
         &mut self,
         now: Micros,
@@ -41,24 +41,25 @@
             return false;
         }
         self.report_due_cancellations(&context, socket.bytes_written, events);
-        // After a partial answer that stopped, the next bytes would be parsed as its remainder.
-        // After an answer that never ends, no other answer arrives. In both cases the connection is
-        // useless for everything else that is open on it, too.
+        // The remainder of a partial answer is late, or no attempt or probe awaits the answer and
+        // it does not end. In the first case, later answers would be parsed as the remainder. In
+        // the second case, no other answer can arrive. In both cases, the other requests on the
+        // connection can't be answered either.
         let partial_answer_expired = self
             .partial_answer_deadline(limits)
             .is_some_and(|deadline| deadline <= now);
         if partial_answer_expired {
             return false;
         }
-        // Without this check, attempts cancelled on this connection would never be reported if the
-        // server accepts no bytes.
+        // A cancelled attempt is reported only after its `abort` is written. Without the check for
+        // a stalled write, it would never be reported if the server accepts no bytes.
         self.liveness.record_output_state(now, socket);
         !self.liveness.is_write_stalled(now, limits)
     }
 
-    /// Starts queued attempts one at a time, as long as the socket accepts each completely. An
-    /// attempt in the queue can still be cancelled or removed, while an attempt in the output
-    /// buffer has started.
+    /// Starts queued attempts one at a time, as long as the socket accepts each command completely.
+    /// The other attempts stay in the queue, because they can be cancelled or removed there, while
+    /// an attempt whose command is in the output buffer has started.
     fn start_queued(
         &mut self,
         context: &WriteContext,
@@ -80,7 +81,7 @@
     }
 
     /// Puts an attempt's command into the empty output buffer and opens its stream. Returns `false`
-    /// if the attempt has ended, it is too late to start it, it can't be encoded, or its command is
+    /// if the attempt has ended or is too late to start, or if its command can't be encoded or is
     /// larger than the buffer.
     fn start(
         &mut self,
@@ -99,12 +100,12 @@
         if command.len() > context.limits.output_buffer_bytes {
             return false;
         }
-        let start = socket.bytes_written;
+        let command_start_byte = socket.bytes_written;
         socket.output.push(&command);
         let sent = SentAttempt {
             attempt,
             sent_at: context.now,
-            command_byte_range: start..start + command.len() as u64,
+            command_byte_range: command_start_byte..command_start_byte + command.len() as u64,
             max_age_us: spec.max_age_us,
             follows_cancellation: self.has_recent_cancellation(&request.id),
         };
@@ -114,8 +115,8 @@
     }
 
     /// Reports cancellations whose `abort` was written at least
-    /// `Limits::cancellation_report_delay_us` ago. The `abort` needs that time to arrive, so that a
-    /// further attempt at a nearer server does not overtake it.
+    /// `Limits::cancellation_report_delay_us` ago. The delay gives the `abort` time to arrive.
+    /// Without it, a further attempt at a nearer server could arrive before the `abort`.
     fn report_due_cancellations(
         &mut self,
         context: &WriteContext,
