--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -102,7 +102,7 @@
     info["good-for-us"] = json!([60_000_000, 0, 0]);
     info["usable-after-us"] = json!([0, 0, 0]);
     info["old-copy-worth"] = json!([0.7, 0.7, 0.7]);
-    info["seats-by-zone"] = json!([0, plan.proxies]);
+    info["seats-by-zone"] = json!([0, plan.proxy_count]);
     info["one-flow-kb-per-s"] = json!(TRANSFER_KB_PER_S);
     info["purge-takes-us"] = json!(PURGE_COMPLETION_MS * 1000);
     info["purge-slack-us"] = json!(PURGE_GRACE_MS * 1000);
--- a/crates/soak/src/director.rs
+++ b/crates/soak/src/director.rs
@@ -105,7 +105,7 @@
 
 impl Cluster {
     async fn start(plan: Plan, slot: u8, folder: &Path) -> io::Result<Self> {
-        let (proxies, address_count) = (plan.proxies, plan.caches + 1);
+        let (proxies, address_count) = (plan.proxy_count, plan.cache_count + 1);
         let run_state: SharedRunState = Rc::new(RefCell::new(RunState::new(plan, slot)));
         let bus_mode: BusModeSender = Rc::new(watch::Sender::new(BusMode::Working));
         let (mut links, mut servers) = (Vec::new(), Vec::new());
@@ -550,11 +550,11 @@
         self.control.phase.set(ProxyPhase::ShuttingDown);
         process.signal(Signal::TERM);
         process
-            .sleep(NEW_CONNECTIONS_PERIOD, is_abort_planned)
+            .watch_for_abort(NEW_CONNECTIONS_PERIOD, is_abort_planned)
             .await;
         self.control.phase.set(ProxyPhase::OpenConnectionsOnly);
         process
-            .sleep(OPEN_CONNECTIONS_ONLY_PERIOD, is_abort_planned)
+            .watch_for_abort(OPEN_CONNECTIONS_ONLY_PERIOD, is_abort_planned)
             .await;
         self.control.phase.set(ProxyPhase::NoNewRequests);
         process.wait_for_exit(is_abort_planned).await;
--- a/crates/soak/src/plan/draw.rs
+++ b/crates/soak/src/plan/draw.rs
@@ -23,22 +23,22 @@
     /// Draws the plan of a seed. A seed always gives the same plan.
     pub fn from_seed(seed: u64) -> Self {
         let mut random = Rng::with_seed(seed);
-        let proxies = random.usize(PROXY_COUNT);
-        let caches = random.usize(CACHE_COUNT);
+        let proxy_count = random.usize(PROXY_COUNT);
+        let cache_count = random.usize(CACHE_COUNT);
         let mut faults = Vec::new();
         let scope = match random.u32(0..3) {
             0 => Scope::ProxiesAndEventBus,
             _ => Scope::AllComponents,
         };
         for _ in 0..random.usize(FAULT_GROUP_COUNT) {
-            let group = FaultGroup::draw(&mut random, scope, proxies, caches);
+            let group = FaultGroup::draw(&mut random, scope, proxy_count, cache_count);
             faults.extend(group.faults);
         }
         faults.sort_by_key(|fault| fault.from_ms);
         Plan {
             seed,
-            proxies,
-            caches,
+            proxy_count,
+            cache_count,
             duration_ms: RUN_DURATION_MS,
             cancellation: seed % 3 != 0,
             longest_deadline_ms: if seed % 4 == 0 { 5_000 } else { 2_000 },
--- a/crates/soak/src/plan/mod.rs
+++ b/crates/soak/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! The plan of one run: which faults occur, and when. A plan is drawn from its seed alone, so a
+//! The plan of one run: which faults occur, and when. A plan is generated from its seed alone, so a
 //! seed gives the same plan on every machine.
 
 mod draw;
@@ -10,17 +10,19 @@
 /// The plan of one run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
-    /// The seed of the plan. The requests are drawn from it as well.
+    /// The seed of the plan. The requests are generated from it as well.
     pub seed: u64,
     /// The number of edge proxies.
-    pub proxies: usize,
-    /// The number of cache servers besides the origin.
-    pub caches: usize,
+    #[serde(rename = "proxies")]
+    pub proxy_count: usize,
+    /// The number of cache servers, without the origin.
+    #[serde(rename = "caches")]
+    pub cache_count: usize,
     /// When the last request is sent, in milliseconds from the start of the run.
     pub duration_ms: u64,
-    /// The longest deadline of any request class, in milliseconds. If it is longer than the time
-    /// that a restart waits for pending requests, a process that was asked to shut down has to exit
-    /// while requests are still pending.
+    /// The longest deadline of any request class, in milliseconds. A process that shuts down for a
+    /// restart answers pending requests only for a limited time. If this deadline is longer, the
+    /// process has to exit while clients may still wait.
     pub longest_deadline_ms: u64,
     /// Whether the settings allow the proxies to cancel attempts.
     pub cancellation: bool,
@@ -52,12 +54,12 @@
         /// The index of the proxy.
         proxy: usize,
     },
-    /// The event bus of an edge proxy moves to another address. The proxy gets the new
-    /// configuration with SIGHUP.
+    /// The event bus of an edge proxy moves to another address. SIGHUP makes the proxy read a
+    /// configuration file with the new address.
     Reload {
         /// The index of the proxy.
         proxy: usize,
-        /// How long the configuration file stays truncated after the signal, in milliseconds.
+        /// How long the configuration file stays truncated after SIGHUP, in milliseconds.
         /// `None` if the file is complete when the signal arrives.
         truncated_for_ms: Option<u64>,
     },
@@ -96,7 +98,7 @@
         /// The index of the cache server.
         cache: usize,
     },
-    /// A cache server drains, leaves the endpoint list, and a new server takes over its address.
+    /// A cache server drains and leaves the endpoint list. A new server takes over its address.
     CacheReplaced {
         /// The index of the cache server.
         cache: usize,
@@ -111,8 +113,8 @@
         /// The index of the cache server.
         cache: usize,
     },
-    /// No bytes pass on connections to a cache server, and new connections are accepted but not
-    /// served.
+    /// No bytes pass on connections between the proxies and a cache server. New connections are
+    /// accepted, but no bytes pass on them either.
     LinkStalled {
         /// The index of the cache server.
         cache: usize,
@@ -131,7 +133,7 @@
         /// The delay in milliseconds.
         first_byte_ms: u64,
     },
-    /// Clients send garbage, incomplete requests or floods of requests.
+    /// Clients send malformed input, incomplete requests or too many requests.
     MisbehavingClients {
         /// The index of the proxy.
         proxy: usize,
@@ -144,7 +146,8 @@
 }
 
 impl FaultKind {
-    /// Returns the name of the fault kind in the report of a campaign.
+    /// Returns the name of the fault kind in the report of a campaign, which runs the plans of a
+    /// range of seeds.
     pub fn name(&self) -> &'static str {
         match self {
             FaultKind::Restart { .. } => "restart",
@@ -197,8 +200,8 @@
 }
 
 impl Plan {
-    /// Returns the names of each pair of faults that overlap in time, in alphabetical order within
-    /// a pair.
+    /// Returns a pair of names for each two faults that overlap in time. The names in a pair are in
+    /// alphabetical order.
     pub fn overlapping_pairs(&self) -> Vec<(&'static str, &'static str)> {
         let mut pairs = Vec::new();
         for (index, fault) in self.faults.iter().enumerate() {
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -189,7 +189,7 @@
 impl RunState {
     /// Creates the state of a run whose servers are all ready.
     pub fn new(plan: Plan, slot: u8) -> Self {
-        let (caches, proxies) = (plan.caches, plan.proxies);
+        let (caches, proxies) = (plan.cache_count, plan.proxy_count);
         let mut run_state = RunState {
             plan,
             slot,
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -66,7 +66,7 @@
     );
     let all_plans_are_valid = plans
         .iter()
-        .all(|plan| (10..=40).contains(&plan.proxies) && !plan.faults.is_empty());
+        .all(|plan| (10..=40).contains(&plan.proxy_count) && !plan.faults.is_empty());
     assert!(
         all_plans_are_valid,
         "a plan has no faults, or not from 10 to 40 proxies"
