--- a/crates/testkit/src/scenario/drain.rs
+++ b/crates/testkit/src/scenario/drain.rs
@@ -13,28 +13,35 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Time from the publication of a drain until the server may receive no new request. Matches the
-/// `drain-grace-us` of [`sample_settings`](crate::sample_settings), plus the tolerance.
-const DRAIN_GRACE_MS: u64 = 1000 + MEASUREMENT_TOLERANCE_MS;
-/// Margin after the grace period, so that later requests are clearly sent after its end.
+/// Time after the publication of a drain from which the server must receive no new request. It is
+/// the `drain-grace-us` of [`sample_settings`](crate::sample_settings) plus the tolerance of the
+/// measurement.
+const DRAIN_GRACE_WITH_TOLERANCE_MS: u64 = 1000 + MEASUREMENT_TOLERANCE_MS;
+/// Additional wait after the grace period, so that the next requests are clearly sent after its
+/// end.
 const GRACE_MARGIN_MS: u64 = 10;
 const REDIRECTED_REQUEST_COUNT: u64 = 12;
 const REQUEST_COUNT_AFTER_DRAIN: u64 = 2 * REDIRECTED_REQUEST_COUNT;
-/// Number of the first object that redirected requests fetch.
+/// Number of the first object that redirected requests fetch. The number determines the key.
 const FIRST_REDIRECTED_OBJECT: u64 = 0xb000;
 /// Number of the first object that is requested after the drain.
 const FIRST_OBJECT_AFTER_DRAIN: u64 = 0xc000;
 /// Delay of the cache servers' answers, which is long enough to publish the drain while requests
 /// wait.
 const ANSWER_DELAY_MS: u64 = 150;
+/// Address of the client in the redirection requests.
 const CLIENT_IP: &str = "127.0.0.9";
-const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval at which the cache servers are checked for a redirected request.
+const ARRIVAL_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval at which the end of the grace period is checked.
 const GRACE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The thread of a client that follows a redirection. It returns the number of the request and the
 /// result.
 type RedirectedClient = JoinHandle<(u64, io::Result<Response>)>;
 
+/// Runs the scenario's drain check and records the results in the report. Returns an error if the
+/// check cannot be completed.
 pub(super) fn run(
     deployment: &Deployment,
     fault: Option<InjectedFault>,
@@ -43,6 +50,7 @@
     deployment.set_cache_behavior(Behavior::delayed(ANSWER_DELAY_MS));
     let clients = start_redirected_clients(deployment, report)?;
     let draining_cache = wait_for_redirected_request(deployment)?;
+    // The injected fault lets the proxy send requests after the drain, which the check must detect.
     if fault != Some(InjectedFault::UnannouncedDrain) {
         let entry = cache_entry(draining_cache, endpoint_state::DRAINING);
         deployment.event_bus.publish_endpoint_changes(vec![entry]);
@@ -53,10 +61,10 @@
         check_redirected_response(number, response, report);
     }
     deployment.set_cache_behavior(Behavior::default());
-    while unix_ms() < drain_published_at_ms + DRAIN_GRACE_MS + GRACE_MARGIN_MS {
+    while unix_ms() < drain_published_at_ms + DRAIN_GRACE_WITH_TOLERANCE_MS + GRACE_MARGIN_MS {
         thread::sleep(GRACE_POLL_INTERVAL);
     }
-    request_after_drain(deployment, report)?;
+    send_requests_after_drain(deployment, report)?;
     check_no_fetch_after_grace(draining_cache, drain_published_at_ms, report);
     report.complete_case(format!(
         "drain: {REDIRECTED_REQUEST_COUNT} redirected requests during the drain, {REQUEST_COUNT_AFTER_DRAIN} requests after it"
@@ -82,7 +90,7 @@
         let Some(target) = location.map(str::to_owned) else {
             report.check(Rule::Redirected, false, || {
                 format!(
-                    "redirection request {number} was answered without a location: {redirection}"
+                    "redirection request {number} was answered without a location on the interconnect: {redirection}"
                 )
             });
             continue;
@@ -113,7 +121,7 @@
         if Instant::now() > deadline {
             return Err(ScenarioError::NoRedirectedRequest);
         }
-        thread::sleep(POLL_INTERVAL);
+        thread::sleep(ARRIVAL_POLL_INTERVAL);
     }
 }
 
@@ -128,10 +136,10 @@
         }),
         Ok(response) => {
             let is_final = matches!(response.status, 200 | 502 | 503 | 504);
-            let kept = is_final && !response.has_surplus_bytes;
-            report.check(Rule::SingleResponse, kept, || {
+            let is_single_response = is_final && !response.has_surplus_bytes;
+            report.check(Rule::SingleResponse, is_single_response, || {
                 format!(
-                    "redirected request {number} got status {}; bytes followed the response: {}",
+                    "redirected request {number} got status {}; surplus bytes after the response: {}",
                     response.status, response.has_surplus_bytes
                 )
             });
@@ -139,7 +147,10 @@
     }
 }
 
-fn request_after_drain(deployment: &Deployment, report: &mut ScenarioReport) -> io::Result<()> {
+fn send_requests_after_drain(
+    deployment: &Deployment,
+    report: &mut ScenarioReport,
+) -> io::Result<()> {
     for number in 0..REQUEST_COUNT_AFTER_DRAIN {
         let response = deployment.fetch_content(&object_key(FIRST_OBJECT_AFTER_DRAIN + number))?;
         report.check(Rule::SingleResponse, !response.has_surplus_bytes, || {
@@ -155,13 +166,14 @@
     report: &mut ScenarioReport,
 ) {
     for command in draining_cache.received() {
-        let is_late = command.received_at_ms > drain_published_at_ms + DRAIN_GRACE_MS;
+        let is_late =
+            command.received_at_ms > drain_published_at_ms + DRAIN_GRACE_WITH_TOLERANCE_MS;
         report.check(
             Rule::DrainTakesEffect,
             !(command.is_fetch() && is_late),
             || {
                 format!(
-                    "request {} reached draining server {} {} ms after the drain, the limit is {DRAIN_GRACE_MS} ms",
+                    "request {} reached draining server {} {} ms after the drain, the limit is {DRAIN_GRACE_WITH_TOLERANCE_MS} ms",
                     command.request_id,
                     draining_cache.id,
                     command.received_at_ms - drain_published_at_ms
