--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -57,10 +57,10 @@
     pub dedup_scope: DedupScope,
     /// How long servers recognize and drop repeats, for classes with an idempotency key.
     pub dedup_window_us: Micros,
-    /// Whether the answer is a stream. Once a stream has begun, the client has received a part of
-    /// it, so the router no longer cancels its attempt.
+    /// Whether the answer is a stream. Once a stream has begun, it is delivered to the client, so
+    /// its attempt must no longer be cancelled.
     pub streaming: bool,
-    /// Whether objects of the class have several parts.
+    /// Whether objects of the class have several parts, which are requested by their numbers.
     pub multipart: bool,
     /// Whether the request is a write, which is executed at the origin and is never cached.
     pub is_write: bool,
