--- a/crates/proxy/src/frontend/interconnect/triggers/specification.rs
+++ b/crates/proxy/src/frontend/interconnect/triggers/specification.rs
@@ -31,7 +31,7 @@
     /// Key of the object, or `None` to purge the whole purge group.
     pub object: Option<String>,
     /// Purge group, which is used only if there is no object.
-    pub group: u64,
+    pub purge_group: u64,
 }
 
 /// Error for a trigger specification that does not have the form that RFC 8007 requires.
@@ -131,17 +131,17 @@
     Some(PurgeTarget {
         object: Some(content.object.to_owned()),
         // Not used, because the purge applies to an object.
-        group: 0,
+        purge_group: 0,
     })
 }
 
 fn group_purge_target(collection: &str) -> Option<PurgeTarget> {
-    let group = collection
+    let purge_group = collection
         .parse()
         .ok()
-        .filter(|group| *group < PURGE_GROUP_COUNT)?;
+        .filter(|purge_group| *purge_group < PURGE_GROUP_COUNT)?;
     Some(PurgeTarget {
         object: None,
-        group,
+        purge_group,
     })
 }
