--- a/crates/proxy/src/event_loop/acceptor.rs
+++ b/crates/proxy/src/event_loop/acceptor.rs
@@ -141,8 +141,8 @@
 }
 
 impl EventLoop {
-    /// Accepts the connections that wait at a listener until none is left or accepting fails. Pauses
-    /// accepting if it fails, for example because the connection table is full.
+    /// Accepts the connections that wait at a listener until none is left or accepting fails.
+    /// Pauses accepting if it fails, for example because the connection table is full.
     pub(super) fn accept_clients(&mut self, now: Micros, kind: ListenerKind) {
         while self.is_accepting(kind) {
             // If no connection can be evicted from a full connection table, new connections wait in
@@ -182,9 +182,9 @@
         }
     }
 
-    /// Returns whether connections are accepted at a listener. After the grace period of a shutdown,
-    /// a listener accepts connections only if accepting was failing when the period ended, and only
-    /// until its waiting connections are accepted. They would be lost otherwise.
+    /// Returns whether connections are accepted at a listener. After the grace period of a
+    /// shutdown, a listener accepts connections only if accepting was failing when the period
+    /// ended, and only until its waiting connections are accepted. They would be lost otherwise.
     fn is_accepting(&self, kind: ListenerKind) -> bool {
         match self.acceptors.get(kind) {
             Some(_) if !self.shutdown.is_grace_over() => true,
--- a/crates/proxy/src/event_loop/signals.rs
+++ b/crates/proxy/src/event_loop/signals.rs
@@ -1,5 +1,5 @@
-//! Delivers SIGTERM and SIGHUP to the event loop through sockets. A control handle triggers the same
-//! actions from another thread.
+//! Delivers SIGTERM and SIGHUP to the event loop through sockets. A control handle triggers the
+//! same actions from another thread.
 
 use super::startup::retry_startup_step;
 use super::tokens;
--- a/crates/routing/src/state/servers.rs
+++ b/crates/routing/src/state/servers.rs
@@ -36,8 +36,8 @@
 pub(crate) struct Charge {
     /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// The transfer time in seconds that is charged. It is an estimate of the time that the transfer
-    /// takes if it does not share its link.
+    /// The transfer time in seconds that is charged. It is an estimate of the time that the
+    /// transfer takes if it does not share its link.
     pub(crate) transfer_s: f64,
     /// The request of the attempt.
     pub(crate) request: RequestId,
--- a/crates/routing/tests/fill_source.rs
+++ b/crates/routing/tests/fill_source.rs
@@ -25,8 +25,8 @@
 }
 
 /// Requests six objects in turn, and returns how many of the requests after
-/// `REQUESTS_BEFORE_MEASUREMENT` are filled from the parent that fills the first request. Fills from
-/// this parent take `first_parent_fill_time_us`, and fills from the other parent take
+/// `REQUESTS_BEFORE_MEASUREMENT` are filled from the parent that fills the first request. Fills
+/// from this parent take `first_parent_fill_time_us`, and fills from the other parent take
 /// `SECOND_PARENT_FILL_TIME_US`.
 fn measured_fills_from_first_parent(
     settings: Settings,
